--- a/dotterelpaddle/forwarding/model.py
+++ b/dotterelpaddle/forwarding/model.py
@@ -21,7 +21,7 @@
         ServiceName,
     )
 
-UNKNOWN_START = Incarnation(0)
+UNKNOWN_INCARNATION = Incarnation(0)
 """Incarnation of an endpoint that does not say when it started."""
 
 START_MARK = "@"
@@ -184,7 +184,7 @@
     """
 
     endpoint: EndpointId
-    incarnation: Incarnation = UNKNOWN_START
+    incarnation: Incarnation = UNKNOWN_INCARNATION
     service: ServiceName
     address: Address
     failure_domain: FailureDomain
@@ -213,7 +213,7 @@
     kept by this name. An endpoint that starts again holds nothing from before, and
     so nothing that was known of its earlier start counts for it.
     """
-    if incarnation == UNKNOWN_START and START_MARK not in name:
+    if incarnation == UNKNOWN_INCARNATION and START_MARK not in name:
         return EndpointId(name)
     return EndpointId(f"{name}{START_MARK}{incarnation}")
 
@@ -222,5 +222,5 @@
     """Return the name under which an endpoint registered, and its start."""
     name, mark, incarnation = endpoint.rpartition(START_MARK)
     if not mark:
-        return EndpointName(endpoint), UNKNOWN_START
+        return EndpointName(endpoint), UNKNOWN_INCARNATION
     return EndpointName(name), Incarnation(int(incarnation))
--- a/dotterelpaddle/forwarding/view.py
+++ b/dotterelpaddle/forwarding/view.py
@@ -16,7 +16,7 @@
 from dotterelpaddle.forwarding.interface import EndpointsRead
 from dotterelpaddle.forwarding.leaving import LeavingEndpoints
 from dotterelpaddle.forwarding.model import (
-    UNKNOWN_START,
+    UNKNOWN_INCARNATION,
     EndpointState,
     endpoint_id,
 )
@@ -162,7 +162,7 @@
         """Return the start of an endpoint that is in force."""
         entry = self._entries.get(name)
         if entry is None:
-            return endpoint_id(name=name, incarnation=UNKNOWN_START)
+            return endpoint_id(name=name, incarnation=UNKNOWN_INCARNATION)
         return entry.endpoint
 
     def endpoints_since(self, *, revision: Revision | None) -> EndpointsRead | None:
--- a/dotterelpaddle/peers/starts.py
+++ b/dotterelpaddle/peers/starts.py
@@ -9,7 +9,7 @@
 from typing import TYPE_CHECKING
 
 from dotterelpaddle.forwarding.model import (
-    UNKNOWN_START,
+    UNKNOWN_INCARNATION,
     endpoint_id,
     split_endpoint_id,
 )
@@ -33,7 +33,7 @@
         self._starts: dict[EndpointName, Incarnation] = {}
         for endpoint in endpoints:
             name, incarnation = split_endpoint_id(endpoint=endpoint)
-            known = self._starts.get(name, UNKNOWN_START)
+            known = self._starts.get(name, UNKNOWN_INCARNATION)
             self._starts[name] = max(known, incarnation)
 
     @property
@@ -62,7 +62,7 @@
         ValueError: If there are starts, but not one for each name.
     """
     distinct = sorted(set(names))
-    told = starts or [UNKNOWN_START] * len(distinct)
+    told = starts or [UNKNOWN_INCARNATION] * len(distinct)
     return {
         name: endpoint_id(name=EndpointName(name), incarnation=Incarnation(int(start)))
         for name, start in zip(distinct, told, strict=True)
--- a/dotterelpaddle/platform/endpoints.py
+++ b/dotterelpaddle/platform/endpoints.py
@@ -7,7 +7,7 @@
 from dotterelpaddle.address import Address
 from dotterelpaddle.exceptions import RecordError
 from dotterelpaddle.forwarding.model import (
-    UNKNOWN_START,
+    UNKNOWN_INCARNATION,
     EndpointEntry,
     EndpointState,
     endpoint_id,
@@ -66,7 +66,7 @@
     Raises:
         RecordError: If it is something else than a whole number of milliseconds.
     """
-    started_at = optional(row, Field.STARTED_AT, int, path, UNKNOWN_START)
+    started_at = optional(row, Field.STARTED_AT, int, path, UNKNOWN_INCARNATION)
     if started_at < 0:
         raise RecordError(
             f"field '{path}{Field.STARTED_AT}' must be from 0 on, not {started_at}",
