--- a/dotterelpaddle/forwarding/exchange.py
+++ b/dotterelpaddle/forwarding/exchange.py
@@ -9,7 +9,7 @@
     from dotterelpaddle.dispatch.outcome import OutcomeLog
     from dotterelpaddle.exceptions import RequestError
     from dotterelpaddle.forwarding.interface import AnswerHead, ForwardRequest
-    from dotterelpaddle.forwarding.model import ForwardRoute, KeyHolder
+    from dotterelpaddle.forwarding.model import ClientAccount, ForwardRoute
     from dotterelpaddle.forwarding.reply import ForwardReply
     from dotterelpaddle.ids import Fingerprint, ServiceName
 
@@ -45,7 +45,7 @@
     version: int = 0
     route: ForwardRoute | None = None
     service: ServiceName | None = None
-    account: KeyHolder | None = None
+    account: ClientAccount | None = None
     fingerprint: Fingerprint | None = None
     last_endpoint: str = ""
     caller_gone: bool = False
--- a/dotterelpaddle/forwarding/fingerprints.py
+++ b/dotterelpaddle/forwarding/fingerprints.py
@@ -13,7 +13,7 @@
 
 if TYPE_CHECKING:
     from dotterelpaddle.forwarding.interface import ForwardRequest
-    from dotterelpaddle.forwarding.model import KeyHolder
+    from dotterelpaddle.forwarding.model import ClientAccount
 
 DIGEST_BYTES = 12
 """Length of a fingerprint. Nobody can find a request with the fingerprint of another
@@ -24,7 +24,7 @@
 
 
 def fingerprint_of(
-    *, request: ForwardRequest, account: KeyHolder | None, body: bytes
+    *, request: ForwardRequest, account: ClientAccount | None, body: bytes
 ) -> Fingerprint:
     """Return the fingerprint of a request.
 
--- a/dotterelpaddle/forwarding/interface.py
+++ b/dotterelpaddle/forwarding/interface.py
@@ -12,9 +12,9 @@
     from dotterelpaddle.address import Address
     from dotterelpaddle.forwarding.evacuations import EvacuationChange
     from dotterelpaddle.forwarding.model import (
+        ClientAccount,
         EndpointEntry,
         FleetConfiguration,
-        KeyHolder,
     )
     from dotterelpaddle.forwarding.uses import PartTag
     from dotterelpaddle.ids import (
@@ -129,7 +129,7 @@
 
     endpoint: EndpointName
     time_left: float
-    account: KeyHolder | None
+    account: ClientAccount | None
     rank: int | None
     last_event: str
     fetch_from: Address | None = None
--- a/dotterelpaddle/forwarding/model.py
+++ b/dotterelpaddle/forwarding/model.py
@@ -116,7 +116,7 @@
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
-class KeyHolder:
+class ClientAccount:
     """A client account as routes need to know it.
 
     Attributes:
@@ -159,7 +159,7 @@
     version: int
     routes: tuple[ForwardRoute, ...]
     limits: CallerLimits
-    key_holders: Mapping[str, KeyHolder] | None
+    key_holders: Mapping[str, ClientAccount] | None
     slow_starts: Mapping[ServiceName, SlowStart] = field(default_factory=dict)
     document: bytes = b""
 
--- a/dotterelpaddle/platform/configuration.py
+++ b/dotterelpaddle/platform/configuration.py
@@ -10,9 +10,9 @@
 from dotterelpaddle.exceptions import RecordError
 from dotterelpaddle.forwarding.model import (
     CallerLimits,
+    ClientAccount,
     FleetConfiguration,
     ForwardRoute,
-    KeyHolder,
     RequestKind,
     SlowStart,
     WeightedService,
@@ -148,14 +148,14 @@
     return slow_starts
 
 
-def _key_holders(row: Mapping[str, Any]) -> dict[str, KeyHolder] | None:
+def _key_holders(row: Mapping[str, Any]) -> dict[str, ClientAccount] | None:
     if row.get("tenants") is None:
         return None
     holders = {}
     for index, tenant in enumerate(field(row, "tenants", list, "")):
         path = f"tenants.{index}."
         rank = tenant.get("priority")
-        holder = KeyHolder(
+        holder = ClientAccount(
             name=AccountId(field(tenant, "name", str, path)),
             rank=None if rank is None else field(tenant, "priority", int, path),
             regions=_regions(tenant, path),
--- a/dotterelpaddle/tests/forwarding/test_fingerprints.py
+++ b/dotterelpaddle/tests/forwarding/test_fingerprints.py
@@ -8,11 +8,11 @@
 import pytest
 
 from dotterelpaddle.forwarding.fingerprints import fingerprint_of
-from dotterelpaddle.forwarding.model import KeyHolder
+from dotterelpaddle.forwarding.model import ClientAccount
 from dotterelpaddle.ids import AccountId, RequestId
 from dotterelpaddle.tests.forwarding.entries import make_request
 
-ACCOUNT = KeyHolder(name=AccountId("acme"))
+ACCOUNT = ClientAccount(name=AccountId("acme"))
 REQUEST = replace(make_request(), target=b"/safe/1?page=2")
 
 
@@ -34,7 +34,7 @@
     "fields",
     [
         {"body": b"other"},
-        {"account": KeyHolder(name=AccountId("other"))},
+        {"account": ClientAccount(name=AccountId("other"))},
         {"account": None},
         {"request": replace(REQUEST, target=b"/safe/1?page=3")},
         {"request": replace(REQUEST, target=b"/safe/1")},
@@ -48,6 +48,6 @@
 
 
 def test_bytes_that_move_between_parts_make_another_fingerprint() -> None:
-    account = KeyHolder(name=AccountId("acm"))
+    account = ClientAccount(name=AccountId("acm"))
 
     assert _fingerprint(account=account, body=b"ebody") != _fingerprint()
--- a/dotterelpaddle/tests/platform/test_protocols.py
+++ b/dotterelpaddle/tests/platform/test_protocols.py
@@ -8,7 +8,7 @@
 
 from dotterelpaddle.exceptions import MalformedRequest, RecordError
 from dotterelpaddle.forwarding.interface import Delivery, PromptPart
-from dotterelpaddle.forwarding.model import EndpointState, KeyHolder, RequestKind
+from dotterelpaddle.forwarding.model import ClientAccount, EndpointState, RequestKind
 from dotterelpaddle.ids import AccountId, EndpointName, Revision
 from dotterelpaddle.platform.documents import PlatformDocuments
 from dotterelpaddle.platform.names import Header
@@ -87,7 +87,7 @@
     delivery = Delivery(
         endpoint=EndpointName("runner-1"),
         time_left=1.2345,
-        account=KeyHolder(name=AccountId("acme")),
+        account=ClientAccount(name=AccountId("acme")),
         rank=12,
         last_event="3",
     )
