--- a/dotterelpaddle/forwarding/attempts.py
+++ b/dotterelpaddle/forwarding/attempts.py
@@ -221,8 +221,8 @@
         if time_left < MIN_TIME_LEFT:
             raise DeadlineExceeded("the deadline passed before it was sent")
         rank = route.rank
-        if exchange.account is not None and exchange.account.rank is not None:
-            rank = exchange.account.rank
+        if exchange.account is not None and exchange.account.priority is not None:
+            rank = exchange.account.priority
         source = choice.fetch_from
         return ForwardCall(
             entry=choice.entry,
--- a/dotterelpaddle/forwarding/model.py
+++ b/dotterelpaddle/forwarding/model.py
@@ -121,12 +121,12 @@
 
     Attributes:
         name: Its name, which endpoints are told.
-        rank: Its priority, which goes before a route's; None for the route's.
+        priority: Its priority, which goes before a route's; None for the route's.
         regions: Where its requests may run; empty for anywhere.
     """
 
     name: AccountId
-    rank: int | None = None
+    priority: int | None = None
     regions: frozenset[Region] = frozenset()
 
 
--- a/dotterelpaddle/platform/configuration.py
+++ b/dotterelpaddle/platform/configuration.py
@@ -157,7 +157,7 @@
         rank = tenant.get("priority")
         holder = ClientAccount(
             name=AccountId(field(tenant, "name", str, path)),
-            rank=None if rank is None else field(tenant, "priority", int, path),
+            priority=None if rank is None else field(tenant, "priority", int, path),
             regions=_regions(tenant, path),
         )
         for key in optional(tenant, "apiKeys", list, path, []):
--- a/dotterelpaddle/tests/platform/test_protocols.py
+++ b/dotterelpaddle/tests/platform/test_protocols.py
@@ -133,7 +133,7 @@
     assert again.repeatable
     assert again.timeout == 2.0
     assert decoded.key_holders is not None
-    assert decoded.key_holders["key-1"].rank == 1
+    assert decoded.key_holders["key-1"].priority == 1
 
 
 def test_configuration_without_client_accounts_asks_for_no_keys() -> None:
