--- a/dotterelpaddle/forwarding/attempts.py
+++ b/dotterelpaddle/forwarding/attempts.py
@@ -220,7 +220,7 @@
         time_left = exchange.deadline - self._clock()
         if time_left < MIN_TIME_LEFT:
             raise DeadlineExceeded("the deadline passed before it was sent")
-        rank = route.rank
+        rank = route.priority
         if exchange.account is not None and exchange.account.priority is not None:
             rank = exchange.account.priority
         source = choice.fetch_from
--- a/dotterelpaddle/forwarding/model.py
+++ b/dotterelpaddle/forwarding/model.py
@@ -70,7 +70,7 @@
         objective: Seconds to the answer, or to a stream's first event, that
             callers expect.
         max_attempts: Endpoints to which one request may be sent.
-        rank: Priority, 0 is the highest.
+        priority: Priority, 0 is the highest.
         public: Whether callers need no key.
         resumable: Whether a stream may go on at another endpoint.
         pause_objective: Longest seconds between two events of a stream that
@@ -86,7 +86,7 @@
     timeout: float
     objective: float
     max_attempts: int
-    rank: int = 5
+    priority: int = 5
     public: bool = False
     resumable: bool = False
     pause_objective: float = 0.0
--- a/dotterelpaddle/platform/configuration.py
+++ b/dotterelpaddle/platform/configuration.py
@@ -88,7 +88,7 @@
         timeout=seconds(row, "timeoutMs", path),
         objective=seconds(row, "sloMs", path) if "sloMs" in row else 0.0,
         max_attempts=max(1, optional(row, "maxAttempts", int, path, 1)),
-        rank=optional(row, "priority", int, path, 5),
+        priority=optional(row, "priority", int, path, 5),
         public=optional(row, "public", bool, path, False),
         resumable=optional(row, "streamResume", bool, path, False),
         pause_objective=(
