--- a/dotterelpaddle/forwarding/app.py
+++ b/dotterelpaddle/forwarding/app.py
@@ -235,7 +235,7 @@
             fingerprint=exchange.fingerprint or "",
             route=route.name if route else "",
             kind=route.kind.value if route else "",
-            objective=route.objective if route else 0.0,
+            objective=route.latency_objective if route else 0.0,
             begun=round(begun, 4),
             pause_objective=route.pause_objective if route else 0.0,
             longest_pause=round(reply.longest_pause, 4),
--- a/dotterelpaddle/forwarding/model.py
+++ b/dotterelpaddle/forwarding/model.py
@@ -67,7 +67,7 @@
         kind: What its requests are.
         services: The services among which its requests are split.
         timeout: Seconds until a caller gets a final answer, whatever it is.
-        objective: Seconds to the answer, or to a stream's first event, that
+        latency_objective: Seconds to the answer, or to a stream's first event, that
             callers expect.
         max_attempts: Endpoints to which one request may be sent.
         priority: Priority, 0 is the highest.
@@ -84,7 +84,7 @@
     kind: RequestKind
     services: tuple[WeightedService, ...]
     timeout: float
-    objective: float
+    latency_objective: float
     max_attempts: int
     priority: int = 5
     public: bool = False
--- a/dotterelpaddle/forwarding/waits.py
+++ b/dotterelpaddle/forwarding/waits.py
@@ -95,7 +95,7 @@
         self._begin(route).back_off()
 
     def _begin(self, route: ForwardRoute) -> Estimate:
-        key = (route.host, route.prefix, route.objective)
+        key = (route.host, route.prefix, route.latency_objective)
         estimate = self._begins.get(key)
         if estimate is None:
             estimate = self._begins[key] = Estimate(bounds=_bounds(route=route))
@@ -104,7 +104,7 @@
 
 def _bounds(*, route: ForwardRoute) -> Bounds:
     """Return the range of the wait for an answer's begin, in seconds."""
-    objective = route.objective or UNKNOWN_OBJECTIVE
+    objective = route.latency_objective or UNKNOWN_OBJECTIVE
     ratios = EVENT_BEGIN if route.kind is RequestKind.STREAM else WHOLE_BEGIN
     return Bounds(
         floor=ratios.floor * objective,
--- a/dotterelpaddle/platform/configuration.py
+++ b/dotterelpaddle/platform/configuration.py
@@ -86,7 +86,7 @@
         kind=request_kind,
         services=_split(row, path),
         timeout=seconds(row, "timeoutMs", path),
-        objective=seconds(row, "sloMs", path) if "sloMs" in row else 0.0,
+        latency_objective=seconds(row, "sloMs", path) if "sloMs" in row else 0.0,
         max_attempts=max(1, optional(row, "maxAttempts", int, path, 1)),
         priority=optional(row, "priority", int, path, 5),
         public=optional(row, "public", bool, path, False),
--- a/dotterelpaddle/tests/forwarding/test_view.py
+++ b/dotterelpaddle/tests/forwarding/test_view.py
@@ -236,7 +236,7 @@
         kind=RequestKind.IDEMPOTENT,
         services=(WeightedService(service=SERVICE, weight=1.0),),
         timeout=1.0,
-        objective=1.0,
+        latency_objective=1.0,
         max_attempts=1,
     )
     configuration = replace(_configuration(1), routes=(route,))
--- a/dotterelpaddle/tests/forwarding/test_waits.py
+++ b/dotterelpaddle/tests/forwarding/test_waits.py
@@ -16,7 +16,7 @@
         kind=kind,
         services=(),
         timeout=10.0,
-        objective=objective,
+        latency_objective=objective,
         max_attempts=2,
         resumable=True,
         pause_objective=0.3,
@@ -44,7 +44,7 @@
     for _ in range(50):
         book.begun(route=route, seconds=0.05)
 
-    assert 0.05 < _first(book, route) < route.objective
+    assert 0.05 < _first(book, route) < route.latency_objective
 
 
 def test_waits_follow_the_objective() -> None:
