--- a/dotterelpaddle/forwarding/app.py
+++ b/dotterelpaddle/forwarding/app.py
@@ -237,7 +237,7 @@
             kind=route.kind.value if route else "",
             objective=route.latency_objective if route else 0.0,
             begun=round(begun, 4),
-            pause_objective=route.pause_objective if route else 0.0,
+            pause_objective=route.gap_objective if route else 0.0,
             longest_pause=round(reply.longest_pause, 4),
             service=exchange.service or "",
             version=exchange.version,
--- a/dotterelpaddle/forwarding/model.py
+++ b/dotterelpaddle/forwarding/model.py
@@ -73,7 +73,7 @@
         priority: Priority, 0 is the highest.
         public: Whether callers need no key.
         resumable: Whether a stream may go on at another endpoint.
-        pause_objective: Longest seconds between two events of a stream that
+        gap_objective: Longest seconds between two events of a stream that
             callers expect, 0 where there is none.
         regions: Where its requests may run; empty for anywhere.
     """
@@ -89,7 +89,7 @@
     priority: int = 5
     public: bool = False
     resumable: bool = False
-    pause_objective: float = 0.0
+    gap_objective: float = 0.0
     regions: frozenset[Region] = frozenset()
 
     @property
--- a/dotterelpaddle/forwarding/waits.py
+++ b/dotterelpaddle/forwarding/waits.py
@@ -114,4 +114,4 @@
 
 
 def _longest_gap(*, route: ForwardRoute) -> float:
-    return max(LEAST_GAP, GAP_RATIO * (route.pause_objective or UNKNOWN_GAP))
+    return max(LEAST_GAP, GAP_RATIO * (route.gap_objective or UNKNOWN_GAP))
--- a/dotterelpaddle/platform/configuration.py
+++ b/dotterelpaddle/platform/configuration.py
@@ -91,7 +91,7 @@
         priority=optional(row, "priority", int, path, 5),
         public=optional(row, "public", bool, path, False),
         resumable=optional(row, "streamResume", bool, path, False),
-        pause_objective=(
+        gap_objective=(
             seconds(row, "gapTargetMs", path) if "gapTargetMs" in row else 0.0
         ),
         regions=_regions(row, path),
--- a/dotterelpaddle/tests/forwarding/test_waits.py
+++ b/dotterelpaddle/tests/forwarding/test_waits.py
@@ -19,7 +19,7 @@
         latency_objective=objective,
         max_attempts=2,
         resumable=True,
-        pause_objective=0.3,
+        gap_objective=0.3,
     )
 
 
