--- a/dotterelpaddle/forwarding/app.py
+++ b/dotterelpaddle/forwarding/app.py
@@ -230,7 +230,7 @@
             begun = reply.begun_at - exchange.received_at
         log.info(
             "request_ended",
-            keep=refused and route is not None and not route.repeatable,
+            keep=refused and route is not None and not route.retryable,
             request_id=exchange.request.request_id,
             fingerprint=exchange.fingerprint or "",
             route=route.name if route else "",
--- a/dotterelpaddle/forwarding/attempts.py
+++ b/dotterelpaddle/forwarding/attempts.py
@@ -154,7 +154,7 @@
         return await self._placer.choose(
             service=exchange.service,
             request=exchange.request,
-            repeatable=exchange.route.repeatable,
+            repeatable=exchange.route.retryable,
             excluded=excluded | self._residency.forbidden(exchange=exchange),
         )
 
@@ -172,7 +172,7 @@
         entry = choice.entry
         self._log_choice(exchange=exchange, choice=choice)
         self._metrics.chosen(choice=choice)
-        attempt = exchange.attempts.begin(idempotent=route.repeatable)
+        attempt = exchange.attempts.begin(idempotent=route.retryable)
         exchange.last_endpoint = entry.endpoint
         progress = Progress(attempt=attempt, clock=self._clock)
         watched = self._guard.watch(
@@ -243,7 +243,7 @@
                 may_repeat=self._may_repeat_later(exchange=exchange),
                 missing_tokens=choice.missing,
             ),
-            fresh=fresh or not route.repeatable,
+            fresh=fresh or not route.retryable,
             observe=progress.observe,
         )
 
@@ -253,7 +253,7 @@
         assert route is not None
         assert service is not None
         return (
-            route.repeatable
+            route.retryable
             and exchange.attempts.maybe_run + 1 < route.max_attempts
             and self._repeats.may_take(service=service)
         )
@@ -265,7 +265,7 @@
         assert service is not None
         if exchange.deadline - self._clock() < MIN_TIME_LEFT:
             return False
-        if not attempts.may_send(idempotent=route.repeatable):
+        if not attempts.may_send(idempotent=route.retryable):
             return False
         if exchange.reply.started and not route.resumable:
             return False
--- a/dotterelpaddle/forwarding/model.py
+++ b/dotterelpaddle/forwarding/model.py
@@ -93,7 +93,7 @@
     regions: frozenset[Region] = frozenset()
 
     @property
-    def repeatable(self) -> bool:
+    def retryable(self) -> bool:
         """Whether a request may be sent again after it may have run."""
         return self.kind is RequestKind.IDEMPOTENT or self.resumable
 
--- a/dotterelpaddle/tests/platform/test_protocols.py
+++ b/dotterelpaddle/tests/platform/test_protocols.py
@@ -130,7 +130,7 @@
     again = next(each for each in decoded.routes if each.prefix == "/stream/again/")
     assert decoded.version == 7
     assert again.kind is RequestKind.STREAM
-    assert again.repeatable
+    assert again.retryable
     assert again.timeout == 2.0
     assert decoded.key_holders is not None
     assert decoded.key_holders["key-1"].priority == 1
