--- a/dotterelpaddle/forwarding/caller_protocol.py
+++ b/dotterelpaddle/forwarding/caller_protocol.py
@@ -65,7 +65,7 @@
                         bounds.header_timeout, self._give_up
                     )
             super().data_received(data)
-            too_long = bounds is not None and self._head_bytes > bounds.header_bytes
+            too_long = bounds is not None and self._head_bytes > bounds.max_header_bytes
             if too_long and self._reads_head and not self.transport.is_closing():
                 log.warning("head_too_large", received=self._head_bytes)
                 self.transport.write(TOO_LARGE)
--- a/dotterelpaddle/forwarding/model.py
+++ b/dotterelpaddle/forwarding/model.py
@@ -103,13 +103,13 @@
     """What a caller may send.
 
     Attributes:
-        header_bytes: Longest head of a request.
+        max_header_bytes: Longest head of a request.
         body_bytes: Longest body.
         header_timeout: Seconds to send a head.
         idle_timeout: Seconds that a connection may stay without a request.
     """
 
-    header_bytes: int
+    max_header_bytes: int
     body_bytes: int
     header_timeout: float
     idle_timeout: float
