--- a/dotterelpaddle/forwarding/app.py
+++ b/dotterelpaddle/forwarding/app.py
@@ -166,7 +166,9 @@
 
     async def _read_body(self, *, receive: Receive) -> bytes:
         configuration = self._view.configuration
-        limit = configuration.limits.body_bytes if configuration else DEFAULT_BODY_BYTES
+        limit = (
+            configuration.limits.max_body_bytes if configuration else DEFAULT_BODY_BYTES
+        )
         parts: list[bytes] = []
         size = 0
         while True:
--- a/dotterelpaddle/forwarding/model.py
+++ b/dotterelpaddle/forwarding/model.py
@@ -104,13 +104,13 @@
 
     Attributes:
         max_header_bytes: Longest head of a request.
-        body_bytes: Longest body.
+        max_body_bytes: Longest body.
         header_timeout: Seconds to send a head.
         idle_timeout: Seconds that a connection may stay without a request.
     """
 
     max_header_bytes: int
-    body_bytes: int
+    max_body_bytes: int
     header_timeout: float
     idle_timeout: float
 
--- a/dotterelpaddle/platform/configuration.py
+++ b/dotterelpaddle/platform/configuration.py
@@ -128,7 +128,7 @@
 def _limits(row: Mapping[str, Any], path: str) -> CallerLimits:
     return CallerLimits(
         max_header_bytes=field(row, "maxHeaderBytes", int, path),
-        body_bytes=field(row, "maxBodyBytes", int, path),
+        max_body_bytes=field(row, "maxBodyBytes", int, path),
         header_timeout=seconds(row, "headerTimeoutMs", path),
         idle_timeout=seconds(row, "idleTimeoutMs", path),
     )
--- a/dotterelpaddle/tests/forwarding/test_cold.py
+++ b/dotterelpaddle/tests/forwarding/test_cold.py
@@ -63,7 +63,7 @@
     version=1,
     routes=(),
     limits=CallerLimits(
-        max_header_bytes=1, body_bytes=1, header_timeout=1.0, idle_timeout=1.0
+        max_header_bytes=1, max_body_bytes=1, header_timeout=1.0, idle_timeout=1.0
     ),
     key_holders=None,
     slow_starts={SERVICE: SLOW_START},
--- a/dotterelpaddle/tests/forwarding/test_view.py
+++ b/dotterelpaddle/tests/forwarding/test_view.py
@@ -30,7 +30,7 @@
 
 NAMES = [EndpointName(f"endpoint-{number}") for number in range(3)]
 LIMITS = CallerLimits(
-    max_header_bytes=1, body_bytes=1, header_timeout=1.0, idle_timeout=1.0
+    max_header_bytes=1, max_body_bytes=1, header_timeout=1.0, idle_timeout=1.0
 )
 
 
