--- a/dotterelpaddle/forwarding/cold.py
+++ b/dotterelpaddle/forwarding/cold.py
@@ -90,7 +90,7 @@
         """Whether any endpoint can be cold, which most of the time none is."""
         now = self._clock()
         longest = max(
-            (each.time for each in self._view.slow_starts.values()), default=0
+            (each.duration for each in self._view.slow_starts.values()), default=0
         )
         back_at = self._view.evacuations.last_ended_at
         return now < max(self._last_until, back_at + longest)
@@ -113,7 +113,7 @@
         # Its entry says it a heartbeat later than work would come back.
         domain = entry.failure_domain
         back_at = self._view.evacuations.ended_at(failure_domain=domain)
-        return now - back_at < slow_start.time
+        return now - back_at < slow_start.duration
 
     def with_room(
         self, *, entries: Sequence[EndpointEntry], decider: Decider
--- a/dotterelpaddle/forwarding/model.py
+++ b/dotterelpaddle/forwarding/model.py
@@ -135,11 +135,11 @@
     """What a service says of its cold endpoints.
 
     Attributes:
-        time: Seconds for which an endpoint is cold after its start.
+        duration: Seconds for which an endpoint is cold after its start.
         rate: Requests a second that it bears meanwhile.
     """
 
-    time: float
+    duration: float
     rate: float
 
 
--- a/dotterelpaddle/platform/configuration.py
+++ b/dotterelpaddle/platform/configuration.py
@@ -139,10 +139,10 @@
     for index, service in enumerate(optional(row, "services", list, "", [])):
         path = f"services.{index}."
         slow_start = SlowStart(
-            time=number(service, Field.COLD_TIME, path, default=0.0),
+            duration=number(service, Field.COLD_TIME, path, default=0.0),
             rate=number(service, Field.COLD_RATE, path, default=0.0),
         )
-        if slow_start.time:
+        if slow_start.duration:
             name = ServiceName(field(service, "name", str, path))
             slow_starts[name] = slow_start
     return slow_starts
--- a/dotterelpaddle/tests/forwarding/test_cold.py
+++ b/dotterelpaddle/tests/forwarding/test_cold.py
@@ -55,7 +55,7 @@
 COLD, WARM = EndpointId("cold"), EndpointId("warm")
 COLD_TIME = 3.0
 BOUNDS = ColdBounds(multiple=1.5, allowance=5.0)
-SLOW_START = SlowStart(time=COLD_TIME, rate=9.2)
+SLOW_START = SlowStart(duration=COLD_TIME, rate=9.2)
 MOST = BOUNDS.multiple * SLOW_START.rate + BOUNDS.allowance
 """Requests that a cold endpoint may get in any second from all routers."""
 
--- a/dotterelpaddle/tests/platform/test_configuration.py
+++ b/dotterelpaddle/tests/platform/test_configuration.py
@@ -60,7 +60,7 @@
         document=_document(1, "a", services=services)
     )
 
-    assert decoded.slow_starts == {"engines": SlowStart(time=3.0, rate=9.2)}
+    assert decoded.slow_starts == {"engines": SlowStart(duration=3.0, rate=9.2)}
 
 
 @pytest.mark.parametrize(
