--- a/dotterelpaddle/forwarding/filters.py
+++ b/dotterelpaddle/forwarding/filters.py
@@ -84,8 +84,8 @@
                 f"no route of host '{request.host}' begins the path '{request.path}'"
             )
         exchange.route = route
-        if not route.public and configuration.key_holders is not None:
-            exchange.account = configuration.key_holders.get(request.key)
+        if not route.public and configuration.accounts_by_key is not None:
+            exchange.account = configuration.accounts_by_key.get(request.key)
             if exchange.account is None:
                 raise NotAuthenticated("the key is missing or unknown")
         exchange.fingerprint = fingerprint_of(
--- a/dotterelpaddle/forwarding/model.py
+++ b/dotterelpaddle/forwarding/model.py
@@ -151,7 +151,7 @@
         version: Grows with each accepted change.
         routes: All routes.
         limits: What callers may send.
-        key_holders: Client accounts by key, None where no keys are asked for.
+        accounts_by_key: Client accounts by key, None where no keys are asked for.
         slow_starts: Services whose endpoints are cold after their start.
         document: The configuration as its source holds it, for other routers.
     """
@@ -159,7 +159,7 @@
     version: int
     routes: tuple[ForwardRoute, ...]
     limits: CallerLimits
-    key_holders: Mapping[str, ClientAccount] | None
+    accounts_by_key: Mapping[str, ClientAccount] | None
     slow_starts: Mapping[ServiceName, SlowStart] = field(default_factory=dict)
     document: bytes = b""
 
--- a/dotterelpaddle/platform/configuration.py
+++ b/dotterelpaddle/platform/configuration.py
@@ -63,7 +63,7 @@
         version=field(row, "version", int, ""),
         routes=routes,
         limits=_limits(field(row, "limits", dict, ""), "limits."),
-        key_holders=_key_holders(row),
+        accounts_by_key=_key_holders(row),
         slow_starts=_slow_starts(row),
         document=document,
     )
--- a/dotterelpaddle/tests/forwarding/test_cold.py
+++ b/dotterelpaddle/tests/forwarding/test_cold.py
@@ -65,7 +65,7 @@
     limits=CallerLimits(
         max_header_bytes=1, max_body_bytes=1, header_timeout=1.0, idle_timeout=1.0
     ),
-    key_holders=None,
+    accounts_by_key=None,
     slow_starts={SERVICE: SLOW_START},
 )
 
--- a/dotterelpaddle/tests/forwarding/test_view.py
+++ b/dotterelpaddle/tests/forwarding/test_view.py
@@ -36,7 +36,7 @@
 
 def _configuration(version: int) -> FleetConfiguration:
     return FleetConfiguration(
-        version=version, routes=(), limits=LIMITS, key_holders=None
+        version=version, routes=(), limits=LIMITS, accounts_by_key=None
     )
 
 
--- a/dotterelpaddle/tests/platform/test_protocols.py
+++ b/dotterelpaddle/tests/platform/test_protocols.py
@@ -132,8 +132,8 @@
     assert again.kind is RequestKind.STREAM
     assert again.retryable
     assert again.timeout == 2.0
-    assert decoded.key_holders is not None
-    assert decoded.key_holders["key-1"].priority == 1
+    assert decoded.accounts_by_key is not None
+    assert decoded.accounts_by_key["key-1"].priority == 1
 
 
 def test_configuration_without_client_accounts_asks_for_no_keys() -> None:
@@ -142,7 +142,7 @@
 
     decoded = DOCUMENTS.configuration(document=orjson.dumps(content))
 
-    assert decoded.key_holders is None
+    assert decoded.accounts_by_key is None
 
 
 @pytest.mark.parametrize(
