--- a/dotterelpaddle/forwarding/model.py
+++ b/dotterelpaddle/forwarding/model.py
@@ -201,7 +201,7 @@
         return split_endpoint_id(endpoint=self.endpoint)[0]
 
     @property
-    def order(self) -> tuple[Incarnation, Revision]:
+    def precedence(self) -> tuple[Incarnation, Revision]:
         """Which of two entries of one name is in force: the greater one."""
         return self.incarnation, self.revision
 
--- a/dotterelpaddle/forwarding/view.py
+++ b/dotterelpaddle/forwarding/view.py
@@ -300,7 +300,7 @@
     def _put(self, *, entry: EndpointEntry) -> bool:
         name = entry.name
         known = self._entries.get(name)
-        if known is not None and known.order >= entry.order:
+        if known is not None and known.precedence >= entry.precedence:
             return False
         if self._removed.outdates(entry=entry):
             return False
