--- a/dotterelpaddle/forwarding/interface.py
+++ b/dotterelpaddle/forwarding/interface.py
@@ -35,11 +35,11 @@
     """A part of a prompt that engines cache.
 
     Attributes:
-        part: Its digest; equal parts have equal digests.
+        digest: Its digest; equal parts have equal digests.
         tokens: Its length.
     """
 
-    part: str
+    digest: str
     tokens: int
 
 
--- a/dotterelpaddle/owners/messages.py
+++ b/dotterelpaddle/owners/messages.py
@@ -130,7 +130,7 @@
                     wanted.service,
                     wanted.shard,
                     wanted.model,
-                    [[part.part, part.tokens] for part in wanted.prompt],
+                    [[part.digest, part.tokens] for part in wanted.prompt],
                     wanted.repeatable,
                     sorted(wanted.excluded),
                     wanted.must,
@@ -194,7 +194,7 @@
         shard=None if shard is None else FailureDomain(str(shard)),
         model=ModelId(str(model)),
         prompt=tuple(
-            PromptPart(part=str(part), tokens=int(tokens)) for part, tokens in prompt
+            PromptPart(digest=str(part), tokens=int(tokens)) for part, tokens in prompt
         ),
         repeatable=bool(repeatable),
         excluded=frozenset(EndpointId(str(each)) for each in excluded),
--- a/dotterelpaddle/platform/engines.py
+++ b/dotterelpaddle/platform/engines.py
@@ -97,7 +97,7 @@
         incarnation = decode_incarnation(document, f"{entry.endpoint}.")
         parts = tuple(
             part_tag(
-                model=ModelId(model), part=PromptPart(part=part, tokens=int(tokens))
+                model=ModelId(model), part=PromptPart(digest=part, tokens=int(tokens))
             )
             for _, part, tokens, model in document["held"]
         )
--- a/dotterelpaddle/platform/protocols.py
+++ b/dotterelpaddle/platform/protocols.py
@@ -142,5 +142,5 @@
     for entry in text.split(",") if text else ():
         match = _PART.fullmatch(entry)
         if match is not None:
-            parts.append(PromptPart(part=match[1], tokens=int(match[2])))
+            parts.append(PromptPart(digest=match[1], tokens=int(match[2])))
     return tuple(parts)
--- a/dotterelpaddle/tests/forwarding/entries.py
+++ b/dotterelpaddle/tests/forwarding/entries.py
@@ -51,8 +51,8 @@
 
 def make_request(*parts: tuple[str, int]) -> ForwardRequest:
     """Return a request whose prompt has some shared parts and one of its own."""
-    own = PromptPart(part="own", tokens=100)
-    shared = [PromptPart(part=part, tokens=tokens) for part, tokens in parts]
+    own = PromptPart(digest="own", tokens=100)
+    shared = [PromptPart(digest=part, tokens=tokens) for part, tokens in parts]
     return ForwardRequest(
         request_id=RequestId("request"),
         method="POST",
--- a/dotterelpaddle/tests/owners/test_messages.py
+++ b/dotterelpaddle/tests/owners/test_messages.py
@@ -37,7 +37,7 @@
     service=ServiceName("engines"),
     shard=FailureDomain("here"),
     model=ModelId("m"),
-    prompt=(PromptPart(part="5c1e", tokens=800), PromptPart(part="e4", tokens=20)),
+    prompt=(PromptPart(digest="5c1e", tokens=800), PromptPart(digest="e4", tokens=20)),
     repeatable=True,
     excluded=frozenset({B}),
     must=False,
--- a/dotterelpaddle/tests/platform/test_protocols.py
+++ b/dotterelpaddle/tests/platform/test_protocols.py
@@ -60,7 +60,7 @@
     assert request.target == b"/a/b?c=d"
     assert request.key == "k"
     assert request.time_left == 1.5
-    assert request.prompt[0] == PromptPart(part="5c1e", tokens=800)
+    assert request.prompt[0] == PromptPart(digest="5c1e", tokens=800)
     assert [part.tokens for part in request.prompt] == [800, 410, 250]
     assert request.last_event == "12"
     assert (Header.PROMPT, headers[Header.PROMPT]) in request.headers
