--- a/dotterelpaddle/forwarding/cached_prompts.py
+++ b/dotterelpaddle/forwarding/cached_prompts.py
@@ -13,7 +13,7 @@
 
     from dotterelpaddle.forwarding.caches import CacheMap
     from dotterelpaddle.forwarding.health import HealthBook
-    from dotterelpaddle.forwarding.interface import Prompted
+    from dotterelpaddle.forwarding.interface import HasPrompt
     from dotterelpaddle.forwarding.model import EndpointEntry
     from dotterelpaddle.forwarding.reachability import Reachability
     from dotterelpaddle.forwarding.view import FleetView
@@ -73,7 +73,7 @@
     def of(
         self,
         *,
-        request: Prompted,
+        request: HasPrompt,
         candidates: Sequence[EndpointEntry],
         cached_at: EndpointId | None = None,
     ) -> CachedPrompt:
--- a/dotterelpaddle/forwarding/caches.py
+++ b/dotterelpaddle/forwarding/caches.py
@@ -21,7 +21,7 @@
     from collections.abc import Collection, Iterable, Sequence
 
     from dotterelpaddle.clock import Clock
-    from dotterelpaddle.forwarding.interface import Prompted, PromptPart
+    from dotterelpaddle.forwarding.interface import HasPrompt, PromptPart
     from dotterelpaddle.forwarding.uses import PartTag, Use
     from dotterelpaddle.ids import EndpointId, ModelId
 
@@ -89,7 +89,7 @@
         with anyio.move_on_after(KNOWN_WAIT):
             await self._known.wait()
 
-    def cached(self, *, request: Prompted) -> dict[EndpointId, int]:
+    def cached(self, *, request: HasPrompt) -> dict[EndpointId, int]:
         """Tell how many tokens of shared parts endpoints have; most have none.
 
         A part counts only where all parts before it are.
@@ -108,12 +108,12 @@
                 cached[endpoint] = cached.get(endpoint, 0) + part.tokens
         return cached
 
-    def missing(self, *, endpoint: EndpointId, request: Prompted) -> int:
+    def missing(self, *, endpoint: EndpointId, request: HasPrompt) -> int:
         """Tell how many tokens of shared parts an endpoint would have to read."""
         total = shared_tokens(request=request)
         return total - self.cached(request=request).get(endpoint, 0)
 
-    def note(self, *, endpoint: EndpointId, request: Prompted) -> tuple[PartTag, ...]:
+    def note(self, *, endpoint: EndpointId, request: HasPrompt) -> tuple[PartTag, ...]:
         """Note that an endpoint reads a request's prompt.
 
         Returns:
@@ -184,12 +184,12 @@
                 self._told.pop((dropped, each), None)
 
 
-def shared_parts(*, request: Prompted) -> Sequence[PromptPart]:
+def shared_parts(*, request: HasPrompt) -> Sequence[PromptPart]:
     """Parts of a prompt that other requests share: all but the last, its own."""
     return request.prompt[:-1]
 
 
-def shared_tokens(*, request: Prompted) -> int:
+def shared_tokens(*, request: HasPrompt) -> int:
     """Length of the parts of a prompt that other requests share."""
     return sum(part.tokens for part in shared_parts(request=request))
 
--- a/dotterelpaddle/forwarding/candidates.py
+++ b/dotterelpaddle/forwarding/candidates.py
@@ -10,7 +10,7 @@
     from collections.abc import Sequence
 
     from dotterelpaddle.forwarding.health import HealthBook
-    from dotterelpaddle.forwarding.interface import Prompted
+    from dotterelpaddle.forwarding.interface import HasPrompt
     from dotterelpaddle.forwarding.model import EndpointEntry
     from dotterelpaddle.forwarding.quiet import QuietEndpoints
     from dotterelpaddle.forwarding.reachability import Reachability
@@ -54,7 +54,7 @@
         self,
         *,
         service: ServiceName,
-        request: Prompted,
+        request: HasPrompt,
         excluded: frozenset[EndpointId],
     ) -> list[EndpointEntry]:
         """Return the endpoints of a service that are not passed over."""
@@ -63,7 +63,7 @@
         return self._health.usable(entries=reachable)
 
     def serving(
-        self, *, service: ServiceName, request: Prompted
+        self, *, service: ServiceName, request: HasPrompt
     ) -> list[EndpointEntry]:
         """Return the endpoints of a service that take a request as far as known."""
         return [
@@ -78,7 +78,7 @@
         self,
         *,
         service: ServiceName,
-        request: Prompted,
+        request: HasPrompt,
         excluded: frozenset[EndpointId],
     ) -> Sequence[EndpointEntry]:
         """Return the usable endpoints, or what is left where none is.
@@ -127,13 +127,13 @@
         self,
         *,
         service: ServiceName,
-        request: Prompted,
+        request: HasPrompt,
         excluded: frozenset[EndpointId],
     ) -> list[EndpointEntry]:
         entries = self.serving(service=service, request=request)
         return [entry for entry in entries if entry.endpoint not in excluded]
 
 
-def serves(*, entry: EndpointEntry, request: Prompted) -> bool:
+def serves(*, entry: EndpointEntry, request: HasPrompt) -> bool:
     """Tell whether an endpoint has the model that a request asks for."""
     return not request.model or not entry.models or request.model in entry.models
--- a/dotterelpaddle/forwarding/homes.py
+++ b/dotterelpaddle/forwarding/homes.py
@@ -11,12 +11,12 @@
 if TYPE_CHECKING:
     from collections.abc import Sequence
 
-    from dotterelpaddle.forwarding.interface import Prompted
+    from dotterelpaddle.forwarding.interface import HasPrompt
     from dotterelpaddle.forwarding.model import EndpointEntry
 
 
 def home_of(
-    *, request: Prompted, candidates: Sequence[EndpointEntry], sharded: bool
+    *, request: HasPrompt, candidates: Sequence[EndpointEntry], sharded: bool
 ) -> EndpointEntry:
     """The endpoint that all routers prefer for a request's deepest shared part.
 
--- a/dotterelpaddle/forwarding/interface.py
+++ b/dotterelpaddle/forwarding/interface.py
@@ -43,7 +43,7 @@
     tokens: int
 
 
-class Prompted(Protocol):
+class HasPrompt(Protocol):
     """What a placer needs to know of a request."""
 
     @property
--- a/dotterelpaddle/forwarding/placement.py
+++ b/dotterelpaddle/forwarding/placement.py
@@ -31,7 +31,7 @@
     from dotterelpaddle.forwarding.caches import CacheMap
     from dotterelpaddle.forwarding.cold import ColdEndpoints
     from dotterelpaddle.forwarding.health import HealthBook
-    from dotterelpaddle.forwarding.interface import Prompted
+    from dotterelpaddle.forwarding.interface import HasPrompt
     from dotterelpaddle.forwarding.loads import LoadBook
     from dotterelpaddle.forwarding.model import EndpointEntry
     from dotterelpaddle.forwarding.quiet import QuietEndpoints
@@ -120,7 +120,7 @@
         self,
         *,
         service: ServiceName,
-        request: Prompted,
+        request: HasPrompt,
         repeatable: bool,
         excluded: frozenset[EndpointId],
         decider: Decider = Decider.ALONE,
@@ -171,7 +171,7 @@
         *,
         service: ServiceName,
         shard: FailureDomain | None,
-        request: Prompted,
+        request: HasPrompt,
         repeatable: bool,
         excluded: frozenset[EndpointId],
         loads: Counter[EndpointId],
@@ -227,7 +227,7 @@
                 return None
         return self._counted(choice=choice, request=request)
 
-    def holder(self, *, service: ServiceName, request: Prompted) -> EndpointId | None:
+    def holder(self, *, service: ServiceName, request: HasPrompt) -> EndpointId | None:
         """The endpoint that has all shared parts of a prompt, None if none has."""
         candidates = self._view.ready(service=service)
         if not candidates or not shared_parts(request=request):
@@ -237,12 +237,12 @@
             return None
         return cached.holder.endpoint
 
-    def _counted(self, *, choice: Choice, request: Prompted) -> Choice:
+    def _counted(self, *, choice: Choice, request: HasPrompt) -> Choice:
         """Count a request where it goes, if that is cold, and note its prompt there."""
         self._cold.count(entry=choice.entry)
         return self.noted(choice=choice, request=request)
 
-    def noted(self, *, choice: Choice, request: Prompted) -> Choice:
+    def noted(self, *, choice: Choice, request: HasPrompt) -> Choice:
         """Note that a request goes there, before it is sent.
 
         So those beside it, which share its prompt, go there too.
@@ -258,7 +258,7 @@
     def _least_cost(
         self,
         *,
-        request: Prompted,
+        request: HasPrompt,
         candidates: Sequence[EndpointEntry],
         loads: Counter[EndpointId],
         mean: float,
--- a/dotterelpaddle/owners/placing.py
+++ b/dotterelpaddle/owners/placing.py
@@ -15,7 +15,7 @@
 if TYPE_CHECKING:
     from collections.abc import Sequence
 
-    from dotterelpaddle.forwarding.interface import Prompted
+    from dotterelpaddle.forwarding.interface import HasPrompt
     from dotterelpaddle.forwarding.model import EndpointEntry
     from dotterelpaddle.forwarding.placement import ForwardPlacer
     from dotterelpaddle.forwarding.view import FleetView
@@ -67,7 +67,7 @@
         self,
         *,
         service: ServiceName,
-        request: Prompted,
+        request: HasPrompt,
         repeatable: bool,
         excluded: frozenset[EndpointId],
     ) -> Choice:
@@ -109,7 +109,7 @@
         self,
         *,
         service: ServiceName,
-        request: Prompted,
+        request: HasPrompt,
         repeatable: bool,
         excluded: frozenset[EndpointId],
     ) -> Choice | AloneBecause:
@@ -172,7 +172,7 @@
         grant: Grant,
         owner: RouterId,
         usable: Sequence[EndpointEntry],
-        request: Prompted,
+        request: HasPrompt,
     ) -> Choice:
         """Turn an owner's answer into a choice."""
         entry = next(each for each in usable if each.endpoint == grant.endpoint)
@@ -199,7 +199,7 @@
         return self._placer.noted(choice=choice, request=request)
 
 
-def _key(*, service: ServiceName, request: Prompted) -> int:
+def _key(*, service: ServiceName, request: HasPrompt) -> int:
     """What decides the shard: the deepest part of the prompt that others share."""
     parts = shared_parts(request=request)
     if parts:
