--- a/dotterelpaddle/forwarding/interface.py
+++ b/dotterelpaddle/forwarding/interface.py
@@ -94,7 +94,7 @@
         status: HTTP status.
         headers: End-to-end headers, to be passed on as they came.
         request_id: The request that it answers, empty if it does not say.
-        sealed: Whether it bears an endpoint's proof of origin.
+        has_origin_proof: Whether it bears an endpoint's proof of origin.
         not_executed: Whether it promises that the request has not run.
         wrong_endpoint: Whether another endpoint than the one meant answered.
         encoded: Whether the body is not as callers asked for it.
@@ -106,7 +106,7 @@
     status: int
     headers: Headers
     request_id: str
-    sealed: bool
+    has_origin_proof: bool
     not_executed: bool
     wrong_endpoint: bool
     encoded: bool
--- a/dotterelpaddle/forwarding/relays.py
+++ b/dotterelpaddle/forwarding/relays.py
@@ -159,7 +159,7 @@
             asked for, so that its body is not the endpoint's.
     """
     head = answer.head
-    if head.status in SUCCESS and (not head.sealed or head.encoded):
+    if head.status in SUCCESS and (not head.has_origin_proof or head.encoded):
         raise AnswerBroken(
             "the answer bears no proof of its origin", peer=call.entry.endpoint
         )
--- a/dotterelpaddle/platform/protocols.py
+++ b/dotterelpaddle/platform/protocols.py
@@ -94,7 +94,7 @@
             status=status,
             headers=[(name, value) for name, value in lowered if name not in dropped],
             request_id=_text(by_name, Header.REQUEST_ID),
-            sealed=Header.SEAL in by_name,
+            has_origin_proof=Header.SEAL in by_name,
             not_executed=Header.NOT_EXECUTED in by_name,
             wrong_endpoint=status == MISDIRECTED,
             encoded=b"content-encoding" in by_name,
--- a/dotterelpaddle/tests/platform/test_protocols.py
+++ b/dotterelpaddle/tests/platform/test_protocols.py
@@ -115,7 +115,7 @@
     head = PROTOCOLS.read_answer(status=200, headers=headers)
 
     assert head.request_id == "r"
-    assert head.sealed
+    assert head.has_origin_proof
     assert not head.not_executed
     names = {name for name, _ in head.headers}
     assert b"x-kept" in names
