--- a/dotterelpaddle/forwarding/interface.py
+++ b/dotterelpaddle/forwarding/interface.py
@@ -97,7 +97,7 @@
         has_origin_proof: Whether it bears an endpoint's proof of origin.
         not_executed: Whether it promises that the request has not run.
         wrong_endpoint: Whether another endpoint than the one meant answered.
-        encoded: Whether the body is not as callers asked for it.
+        has_unexpected_encoding: Whether the body is not as callers asked for it.
         leaving: Whether the endpoint says that it leaves.
         retry_after: Seconds for which the endpoint asks to be left alone, None if it
             does not.
@@ -109,7 +109,7 @@
     has_origin_proof: bool
     not_executed: bool
     wrong_endpoint: bool
-    encoded: bool
+    has_unexpected_encoding: bool
     leaving: bool = False
     retry_after: float | None = None
 
--- a/dotterelpaddle/forwarding/relays.py
+++ b/dotterelpaddle/forwarding/relays.py
@@ -159,7 +159,9 @@
             asked for, so that its body is not the endpoint's.
     """
     head = answer.head
-    if head.status in SUCCESS and (not head.has_origin_proof or head.encoded):
+    if head.status in SUCCESS and (
+        not head.has_origin_proof or head.has_unexpected_encoding
+    ):
         raise AnswerBroken(
             "the answer bears no proof of its origin", peer=call.entry.endpoint
         )
--- a/dotterelpaddle/platform/protocols.py
+++ b/dotterelpaddle/platform/protocols.py
@@ -97,7 +97,7 @@
             has_origin_proof=Header.SEAL in by_name,
             not_executed=Header.NOT_EXECUTED in by_name,
             wrong_endpoint=status == MISDIRECTED,
-            encoded=b"content-encoding" in by_name,
+            has_unexpected_encoding=b"content-encoding" in by_name,
             leaving=says_it_leaves(headers=lowered),
             retry_after=decode_retry_after(headers=by_name),
         )
--- a/dotterelpaddle/tests/forwarding/test_leaving.py
+++ b/dotterelpaddle/tests/forwarding/test_leaving.py
@@ -39,7 +39,7 @@
     has_origin_proof=True,
     not_executed=False,
     wrong_endpoint=False,
-    encoded=False,
+    has_unexpected_encoding=False,
 )
 
 
