--- a/dotterelpaddle/forwarding/attempts.py
+++ b/dotterelpaddle/forwarding/attempts.py
@@ -25,7 +25,7 @@
     FailedAnswer,
     IdleConnectionLost,
 )
-from dotterelpaddle.forwarding.interface import Delivery
+from dotterelpaddle.forwarding.interface import RequestMetadata
 from dotterelpaddle.forwarding.progress import Progress, Tried
 from dotterelpaddle.logs import get_logger
 
@@ -228,7 +228,7 @@
             entry=choice.entry,
             request=exchange.request,
             body=exchange.body,
-            delivery=Delivery(
+            delivery=RequestMetadata(
                 endpoint=choice.entry.name,
                 time_left=time_left,
                 account=exchange.account,
--- a/dotterelpaddle/forwarding/client.py
+++ b/dotterelpaddle/forwarding/client.py
@@ -30,9 +30,9 @@
     from dotterelpaddle.endpoint.patience import Patience
     from dotterelpaddle.forwarding.interface import (
         AnswerHead,
-        Delivery,
         ForwardRequest,
         Protocols,
+        RequestMetadata,
     )
     from dotterelpaddle.forwarding.model import EndpointEntry
     from dotterelpaddle.forwarding.notices import EndpointNotices
@@ -72,7 +72,7 @@
     entry: EndpointEntry
     request: ForwardRequest
     body: bytes
-    delivery: Delivery
+    delivery: RequestMetadata
     patience: Patience
     fresh: bool
     observe: Observer
--- a/dotterelpaddle/forwarding/interface.py
+++ b/dotterelpaddle/forwarding/interface.py
@@ -115,7 +115,7 @@
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
-class Delivery:
+class RequestMetadata:
     """What an endpoint is told beside the caller's own headers.
 
     Attributes:
@@ -146,7 +146,7 @@
         """
 
     def endpoint_headers(
-        self, *, request: ForwardRequest, delivery: Delivery
+        self, *, request: ForwardRequest, delivery: RequestMetadata
     ) -> Headers:
         """Make the headers of a request to an endpoint."""
 
--- a/dotterelpaddle/platform/protocols.py
+++ b/dotterelpaddle/platform/protocols.py
@@ -8,10 +8,10 @@
 from dotterelpaddle.exceptions import MalformedRequest
 from dotterelpaddle.forwarding.interface import (
     AnswerHead,
-    Delivery,
     ForwardRequest,
     Headers,
     PromptPart,
+    RequestMetadata,
 )
 from dotterelpaddle.ids import ModelId, RequestId
 from dotterelpaddle.platform.names import HOP_BY_HOP, OURS_ALONE, Header
@@ -67,7 +67,7 @@
         )
 
     def endpoint_headers(
-        self, *, request: ForwardRequest, delivery: Delivery
+        self, *, request: ForwardRequest, delivery: RequestMetadata
     ) -> Headers:
         """Make the headers of a request to an endpoint."""
         headers = list(request.headers)
--- a/dotterelpaddle/tests/platform/test_protocols.py
+++ b/dotterelpaddle/tests/platform/test_protocols.py
@@ -7,7 +7,7 @@
 from hypothesis import given, strategies as st
 
 from dotterelpaddle.exceptions import MalformedRequest, RecordError
-from dotterelpaddle.forwarding.interface import Delivery, PromptPart
+from dotterelpaddle.forwarding.interface import PromptPart, RequestMetadata
 from dotterelpaddle.forwarding.model import ClientAccount, EndpointState, RequestKind
 from dotterelpaddle.ids import AccountId, EndpointName, Revision
 from dotterelpaddle.platform.documents import PlatformDocuments
@@ -84,7 +84,7 @@
 
 def test_endpoint_gets_what_it_has_to_know() -> None:
     request = PROTOCOLS.read_request(scope=_scope({Header.PROMPT: b"aa:1,bb:2"}))
-    delivery = Delivery(
+    delivery = RequestMetadata(
         endpoint=EndpointName("runner-1"),
         time_left=1.2345,
         account=ClientAccount(name=AccountId("acme")),
