--- a/dotterelpaddle/forwarding/attempts.py
+++ b/dotterelpaddle/forwarding/attempts.py
@@ -232,7 +232,7 @@
                 endpoint=choice.entry.name,
                 time_left=time_left,
                 account=exchange.account,
-                rank=rank,
+                priority=rank,
                 last_event=relay.last_event,
                 fetch_from=source.address if source is not None else None,
             ),
--- a/dotterelpaddle/forwarding/interface.py
+++ b/dotterelpaddle/forwarding/interface.py
@@ -122,7 +122,7 @@
         endpoint: Name of the endpoint that is meant; any other one must refuse.
         time_left: Seconds after which nobody waits any more.
         account: The client account, None on public routes.
-        rank: Priority, 0 is the highest; None for the endpoint's default.
+        priority: Priority, 0 is the highest; None for the endpoint's default.
         last_event: Id of the last event that the caller has, empty for none.
         fetch_from: Endpoint from whose cache to fetch what it has of the prompt.
     """
@@ -130,7 +130,7 @@
     endpoint: EndpointName
     time_left: float
     account: ClientAccount | None
-    rank: int | None
+    priority: int | None
     last_event: str
     fetch_from: Address | None = None
 
--- a/dotterelpaddle/platform/protocols.py
+++ b/dotterelpaddle/platform/protocols.py
@@ -75,8 +75,8 @@
         headers.append((Header.TIME_LEFT, b"%d" % (delivery.time_left * 1000)))
         if delivery.account is not None:
             headers.append((Header.ACCOUNT, delivery.account.name.encode()))
-        if delivery.rank is not None and request.prompt:
-            headers.append((Header.RANK, b"%d" % min(delivery.rank, LOWEST_RANK)))
+        if delivery.priority is not None and request.prompt:
+            headers.append((Header.RANK, b"%d" % min(delivery.priority, LOWEST_RANK)))
         if delivery.last_event:
             headers.append((Header.LAST_EVENT, delivery.last_event.encode("latin-1")))
         if delivery.fetch_from is not None:
--- a/dotterelpaddle/tests/platform/test_protocols.py
+++ b/dotterelpaddle/tests/platform/test_protocols.py
@@ -88,7 +88,7 @@
         endpoint=EndpointName("runner-1"),
         time_left=1.2345,
         account=ClientAccount(name=AccountId("acme")),
-        rank=12,
+        priority=12,
         last_event="3",
     )
 
