--- a/dotterelpaddle/forwarding/app.py
+++ b/dotterelpaddle/forwarding/app.py
@@ -25,7 +25,7 @@
 
     from dotterelpaddle.clock import Clock
     from dotterelpaddle.forwarding.filters import Next
-    from dotterelpaddle.forwarding.interface import Headers, Protocols
+    from dotterelpaddle.forwarding.interface import Headers, WireCodec
     from dotterelpaddle.forwarding.isolation import Isolation
     from dotterelpaddle.forwarding.metrics import ForwardMetrics
     from dotterelpaddle.forwarding.reply import Send
@@ -63,7 +63,7 @@
         self,
         *,
         pipeline: Next,
-        protocols: Protocols,
+        protocols: WireCodec,
         view: FleetView,
         isolation: Isolation,
         metrics: ForwardMetrics,
--- a/dotterelpaddle/forwarding/client.py
+++ b/dotterelpaddle/forwarding/client.py
@@ -31,8 +31,8 @@
     from dotterelpaddle.forwarding.interface import (
         AnswerHead,
         ForwardRequest,
-        Protocols,
         RequestMetadata,
+        WireCodec,
     )
     from dotterelpaddle.forwarding.model import EndpointEntry
     from dotterelpaddle.forwarding.notices import EndpointNotices
@@ -164,7 +164,7 @@
     def __init__(
         self,
         *,
-        protocols: Protocols,
+        protocols: WireCodec,
         backend: LinkedBackend,
         clock: Clock,
         signs: EndpointSigns,
--- a/dotterelpaddle/forwarding/interface.py
+++ b/dotterelpaddle/forwarding/interface.py
@@ -135,7 +135,7 @@
     fetch_from: Address | None = None
 
 
-class Protocols(Protocol):
+class WireCodec(Protocol):
     """Translates between the wire and forwarding's own types."""
 
     def read_request(self, *, scope: Mapping[str, Any]) -> ForwardRequest:
--- a/dotterelpaddle/forwarding/parts.py
+++ b/dotterelpaddle/forwarding/parts.py
@@ -52,8 +52,8 @@
     from dotterelpaddle.forwarding.interface import (
         CachesReader,
         Documents,
-        Protocols,
         Source,
+        WireCodec,
     )
     from dotterelpaddle.forwarding.settings import ForwardSettings
     from dotterelpaddle.links import Links
@@ -73,7 +73,7 @@
     """
 
     source: Source
-    protocols: Protocols
+    protocols: WireCodec
     documents: Documents
     caches_reader: CachesReader
     links: Links
