--- a/dotterelpaddle/forwarding/app.py
+++ b/dotterelpaddle/forwarding/app.py
@@ -112,7 +112,7 @@
             send=send, closing=lambda: self._sends_away, clock=self._clock
         )
         try:
-            request = self._protocols.read_request(scope=scope)
+            request = self._protocols.decode_request(scope=scope)
         except RequestError as error:
             log.warning("request_unreadable", cause=error.message)
             await reply.whole(status=error.status, headers=[], body=_body(error=error))
--- a/dotterelpaddle/forwarding/interface.py
+++ b/dotterelpaddle/forwarding/interface.py
@@ -138,7 +138,7 @@
 class WireCodec(Protocol):
     """Translates between the wire and forwarding's own types."""
 
-    def read_request(self, *, scope: Mapping[str, Any]) -> ForwardRequest:
+    def decode_request(self, *, scope: Mapping[str, Any]) -> ForwardRequest:
         """Decode the head of a caller's request.
 
         Raises:
--- a/dotterelpaddle/platform/protocols.py
+++ b/dotterelpaddle/platform/protocols.py
@@ -32,7 +32,7 @@
 class PlatformProtocols:
     """Translates callers' requests and endpoints' answers."""
 
-    def read_request(self, *, scope: Mapping[str, Any]) -> ForwardRequest:
+    def decode_request(self, *, scope: Mapping[str, Any]) -> ForwardRequest:
         """Decode the head of a caller's request.
 
         Raises:
--- a/dotterelpaddle/tests/platform/test_protocols.py
+++ b/dotterelpaddle/tests/platform/test_protocols.py
@@ -54,7 +54,7 @@
         Header.LAST_EVENT: b"12",
     }
 
-    request = PROTOCOLS.read_request(scope=_scope(headers, query_string=b"c=d"))
+    request = PROTOCOLS.decode_request(scope=_scope(headers, query_string=b"c=d"))
 
     assert request.host == "a.example"
     assert request.target == b"/a/b?c=d"
@@ -69,7 +69,7 @@
 
 @given(st.binary(max_size=40))
 def test_any_prompt_header_is_read_or_left_out(text: bytes) -> None:
-    request = PROTOCOLS.read_request(scope=_scope({Header.PROMPT: text}))
+    request = PROTOCOLS.decode_request(scope=_scope({Header.PROMPT: text}))
 
     assert all(part.tokens >= 0 for part in request.prompt)
 
@@ -79,11 +79,11 @@
     scope["headers"] = [(b"host", b"a.example")]
 
     with pytest.raises(MalformedRequest, match="x-dotterelpaddle-attempt-id"):
-        PROTOCOLS.read_request(scope=scope)
+        PROTOCOLS.decode_request(scope=scope)
 
 
 def test_endpoint_gets_what_it_has_to_know() -> None:
-    request = PROTOCOLS.read_request(scope=_scope({Header.PROMPT: b"aa:1,bb:2"}))
+    request = PROTOCOLS.decode_request(scope=_scope({Header.PROMPT: b"aa:1,bb:2"}))
     delivery = RequestMetadata(
         endpoint=EndpointName("runner-1"),
         time_left=1.2345,
