--- a/dotterelpaddle/forwarding/client.py
+++ b/dotterelpaddle/forwarding/client.py
@@ -205,7 +205,7 @@
             response = await self._exchange(call=call, connection=connection)
             connection.stream.more_time = None
             self._signs.begun(endpoint=call.entry.endpoint, sent_at=sent_at)
-            head = self._protocols.read_answer(
+            head = self._protocols.decode_answer(
                 status=response.status, headers=response.headers
             )
             _check_answers(head=head, call=call, reused=connection.reused)
--- a/dotterelpaddle/forwarding/interface.py
+++ b/dotterelpaddle/forwarding/interface.py
@@ -150,7 +150,7 @@
     ) -> Headers:
         """Make the headers of a request to an endpoint."""
 
-    def read_answer(
+    def decode_answer(
         self, *, status: int, headers: Sequence[tuple[bytes, bytes]]
     ) -> AnswerHead:
         """Decode the head of an endpoint's answer."""
--- a/dotterelpaddle/platform/protocols.py
+++ b/dotterelpaddle/platform/protocols.py
@@ -83,7 +83,7 @@
             headers.append((Header.FETCH_FROM, str(delivery.fetch_from).encode()))
         return headers
 
-    def read_answer(
+    def decode_answer(
         self, *, status: int, headers: Sequence[tuple[bytes, bytes]]
     ) -> AnswerHead:
         """Decode the head of an endpoint's answer."""
--- a/dotterelpaddle/tests/platform/test_protocols.py
+++ b/dotterelpaddle/tests/platform/test_protocols.py
@@ -112,7 +112,7 @@
         (b"X-Kept", b"1"),
     ]
 
-    head = PROTOCOLS.read_answer(status=200, headers=headers)
+    head = PROTOCOLS.decode_answer(status=200, headers=headers)
 
     assert head.request_id == "r"
     assert head.has_origin_proof
