--- a/dotterelpaddle/forwarding/client.py
+++ b/dotterelpaddle/forwarding/client.py
@@ -291,7 +291,7 @@
                 call.observe(Evidence.SENT)
 
     def _request(self, *, call: ForwardCall) -> httpcore.Request:
-        headers = self._protocols.endpoint_headers(
+        headers = self._protocols.encode_headers(
             request=call.request, delivery=call.delivery
         )
         if call.body or call.request.method in ("POST", "PUT", "PATCH"):
--- a/dotterelpaddle/forwarding/interface.py
+++ b/dotterelpaddle/forwarding/interface.py
@@ -145,7 +145,7 @@
             MalformedRequest: If it can't be understood.
         """
 
-    def endpoint_headers(
+    def encode_headers(
         self, *, request: ForwardRequest, delivery: RequestMetadata
     ) -> Headers:
         """Make the headers of a request to an endpoint."""
--- a/dotterelpaddle/platform/protocols.py
+++ b/dotterelpaddle/platform/protocols.py
@@ -66,7 +66,7 @@
             last_event=_text(headers, Header.LAST_EVENT),
         )
 
-    def endpoint_headers(
+    def encode_headers(
         self, *, request: ForwardRequest, delivery: RequestMetadata
     ) -> Headers:
         """Make the headers of a request to an endpoint."""
