--- a/dotterelpaddle/forwarding/follower.py
+++ b/dotterelpaddle/forwarding/follower.py
@@ -15,7 +15,7 @@
 
     from dotterelpaddle.clock import Clock
     from dotterelpaddle.forwarding.interface import (
-        OperatorRead,
+        OperatorUpdate,
         Source,
         Vouching,
     )
@@ -205,7 +205,7 @@
         while self._word.passed_on and not self._must_look_itself:
             await anyio.sleep(PASSED_ON_PAUSE)
 
-    async def _wait_long(self, *, after: Revision) -> OperatorRead | None:
+    async def _wait_long(self, *, after: Revision) -> OperatorUpdate | None:
         """Wait for a change; None if nobody vouches for the version any more."""
         with anyio.CancelScope() as scope:
             self._long_call = scope
--- a/dotterelpaddle/forwarding/interface.py
+++ b/dotterelpaddle/forwarding/interface.py
@@ -157,7 +157,7 @@
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
-class OperatorRead:
+class OperatorUpdate:
     """What the operator wants at some moment, or what changed up to it.
 
     Attributes:
@@ -276,12 +276,12 @@
     HistoryLost if changes since `after` can't be told one by one any more.
     """
 
-    async def configuration(self) -> OperatorRead:
+    async def configuration(self) -> OperatorUpdate:
         """Read the configuration."""
 
     async def configuration_after(
         self, *, after: Revision, wait: float
-    ) -> OperatorRead:
+    ) -> OperatorUpdate:
         """Wait for a change of the configuration, some seconds at most."""
 
     async def endpoints(self) -> EndpointsRead:
--- a/dotterelpaddle/forwarding/view.py
+++ b/dotterelpaddle/forwarding/view.py
@@ -29,7 +29,7 @@
     from collections.abc import Callable, Mapping
 
     from dotterelpaddle.clock import Clock
-    from dotterelpaddle.forwarding.interface import OperatorRead
+    from dotterelpaddle.forwarding.interface import OperatorUpdate
     from dotterelpaddle.forwarding.model import (
         CallerLimits,
         EndpointEntry,
@@ -221,7 +221,7 @@
         """Note that the platform is back; entries may be missing for a while."""
         self._removed.note_return()
 
-    def take_operator_read(self, *, read: OperatorRead) -> None:
+    def take_operator_read(self, *, read: OperatorUpdate) -> None:
         """Take in what the operator wants.
 
         Evacuations come first: who has a configuration serves, and knows them by then.
--- a/dotterelpaddle/platform/operator_rows.py
+++ b/dotterelpaddle/platform/operator_rows.py
@@ -6,7 +6,7 @@
 
 from dotterelpaddle.exceptions import RecordError
 from dotterelpaddle.forwarding.evacuations import EvacuationChange
-from dotterelpaddle.forwarding.interface import OperatorRead
+from dotterelpaddle.forwarding.interface import OperatorUpdate
 from dotterelpaddle.ids import FailureDomain, Revision
 from dotterelpaddle.logs import get_logger
 from dotterelpaddle.platform.decoding import parse
@@ -35,7 +35,7 @@
 
     def decode(
         self, *, rows: Sequence[Row], revision: Revision, whole: bool
-    ) -> OperatorRead:
+    ) -> OperatorUpdate:
         """Decode rows; those that can't be used are logged and change nothing.
 
         Args:
@@ -53,7 +53,7 @@
             except RecordError as error:
                 _log_unusable("evacuation_unusable", row, error)
                 unclear.add(_evacuated_domain(row))
-        return OperatorRead(
+        return OperatorUpdate(
             revision=revision,
             configuration=self._configuration(rows),
             evacuations=tuple(evacuations),
--- a/dotterelpaddle/platform/store.py
+++ b/dotterelpaddle/platform/store.py
@@ -21,7 +21,7 @@
     from collections.abc import Mapping
 
     from dotterelpaddle.address import Address
-    from dotterelpaddle.forwarding.interface import Documents, OperatorRead
+    from dotterelpaddle.forwarding.interface import Documents, OperatorUpdate
     from dotterelpaddle.links import Links
     from dotterelpaddle.platform.rows import Row
 
@@ -62,14 +62,14 @@
         """Close all connections."""
         await self._pool.aclose()
 
-    async def configuration(self) -> OperatorRead:
+    async def configuration(self) -> OperatorUpdate:
         """Read the configuration."""
         rows, revision = await self._read_all(table=Table.OPERATOR)
         return self._operator_rows.decode(rows=rows, revision=revision, whole=True)
 
     async def configuration_after(
         self, *, after: Revision, wait: float
-    ) -> OperatorRead:
+    ) -> OperatorUpdate:
         """Wait for a change of the configuration, some seconds at most."""
         answer = await self._watch(table=Table.OPERATOR, after=after, wait=wait)
         return self._operator_rows.decode(
--- a/dotterelpaddle/tests/forwarding/test_follower.py
+++ b/dotterelpaddle/tests/forwarding/test_follower.py
@@ -14,7 +14,7 @@
 from dotterelpaddle.exceptions import PlatformUnavailable
 from dotterelpaddle.forwarding import follower as following
 from dotterelpaddle.forwarding.follower import Follower
-from dotterelpaddle.forwarding.interface import EndpointsRead, OperatorRead
+from dotterelpaddle.forwarding.interface import EndpointsRead, OperatorUpdate
 from dotterelpaddle.forwarding.metrics import ForwardMetrics
 from dotterelpaddle.forwarding.view import FleetView
 from dotterelpaddle.ids import Revision
@@ -63,12 +63,12 @@
     endpoint_calls: int = 0
     failing: bool = False
 
-    async def configuration(self) -> OperatorRead:
-        return OperatorRead(revision=Revision(1), configuration=None, whole=True)
+    async def configuration(self) -> OperatorUpdate:
+        return OperatorUpdate(revision=Revision(1), configuration=None, whole=True)
 
     async def configuration_after(
         self, *, after: Revision, wait: float
-    ) -> OperatorRead:
+    ) -> OperatorUpdate:
         self.waits.append(wait)
         await anyio.sleep_forever()
         raise AssertionError(after)
