--- a/dotterelpaddle/forwarding/interface.py
+++ b/dotterelpaddle/forwarding/interface.py
@@ -164,7 +164,7 @@
         revision: Position in the order of changes up to which this is known.
         configuration: The configuration, None if nothing new or usable is there.
         evacuations: Evacuations that there are, or have begun or ended.
-        unclear: Failure domains whose evacuation can't be made out, as its row can't
+        undecodable: Failure domains whose evacuation can't be made out, as its row can't
             be decoded: nothing changes for them.
         whole: Whether there are no others.
     """
@@ -172,7 +172,7 @@
     revision: Revision
     configuration: FleetConfiguration | None
     evacuations: tuple[EvacuationChange, ...] = ()
-    unclear: frozenset[FailureDomain] = frozenset()
+    undecodable: frozenset[FailureDomain] = frozenset()
     whole: bool = False
 
 
--- a/dotterelpaddle/forwarding/view.py
+++ b/dotterelpaddle/forwarding/view.py
@@ -228,7 +228,7 @@
         """
         if read.whole:
             told = frozenset(each.failure_domain for each in read.evacuations)
-            kept = self._evacuations.domains & read.unclear
+            kept = self._evacuations.domains & read.undecodable
             self._evacuations.take(
                 told=EvacuatedDomains(revision=read.revision, domains=told | kept)
             )
--- a/dotterelpaddle/platform/operator_rows.py
+++ b/dotterelpaddle/platform/operator_rows.py
@@ -57,7 +57,7 @@
             revision=revision,
             configuration=self._configuration(rows),
             evacuations=tuple(evacuations),
-            unclear=frozenset(unclear),
+            undecodable=frozenset(unclear),
             whole=whole,
         )
 
