--- a/dotterelpaddle/forwarding/interface.py
+++ b/dotterelpaddle/forwarding/interface.py
@@ -166,14 +166,14 @@
         evacuations: Evacuations that there are, or have begun or ended.
         undecodable: Failure domains whose evacuation can't be made out, as its row can't
             be decoded: nothing changes for them.
-        whole: Whether there are no others.
+        is_snapshot: Whether there are no others.
     """
 
     revision: Revision
     configuration: FleetConfiguration | None
     evacuations: tuple[EvacuationChange, ...] = ()
     undecodable: frozenset[FailureDomain] = frozenset()
-    whole: bool = False
+    is_snapshot: bool = False
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
--- a/dotterelpaddle/forwarding/view.py
+++ b/dotterelpaddle/forwarding/view.py
@@ -226,7 +226,7 @@
 
         Evacuations come first: who has a configuration serves, and knows them by then.
         """
-        if read.whole:
+        if read.is_snapshot:
             told = frozenset(each.failure_domain for each in read.evacuations)
             kept = self._evacuations.domains & read.undecodable
             self._evacuations.take(
--- a/dotterelpaddle/platform/operator_rows.py
+++ b/dotterelpaddle/platform/operator_rows.py
@@ -58,7 +58,7 @@
             configuration=self._configuration(rows),
             evacuations=tuple(evacuations),
             undecodable=frozenset(unclear),
-            whole=whole,
+            is_snapshot=whole,
         )
 
     def _configuration(self, rows: Sequence[Row]) -> FleetConfiguration | None:
--- a/dotterelpaddle/tests/forwarding/test_follower.py
+++ b/dotterelpaddle/tests/forwarding/test_follower.py
@@ -64,7 +64,9 @@
     failing: bool = False
 
     async def configuration(self) -> OperatorUpdate:
-        return OperatorUpdate(revision=Revision(1), configuration=None, whole=True)
+        return OperatorUpdate(
+            revision=Revision(1), configuration=None, is_snapshot=True
+        )
 
     async def configuration_after(
         self, *, after: Revision, wait: float
