--- a/dotterelpaddle/forwarding/interface.py
+++ b/dotterelpaddle/forwarding/interface.py
@@ -177,7 +177,7 @@
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
-class EndpointsRead:
+class EndpointsUpdate:
     """Endpoints' entries at some moment, or what changed up to it.
 
     Attributes:
@@ -284,8 +284,8 @@
     ) -> OperatorUpdate:
         """Wait for a change of the configuration, some seconds at most."""
 
-    async def endpoints(self) -> EndpointsRead:
+    async def endpoints(self) -> EndpointsUpdate:
         """Read all endpoints' entries."""
 
-    async def endpoints_after(self, *, after: Revision, wait: float) -> EndpointsRead:
+    async def endpoints_after(self, *, after: Revision, wait: float) -> EndpointsUpdate:
         """Wait for changes of endpoints' entries, some seconds at most."""
--- a/dotterelpaddle/forwarding/view.py
+++ b/dotterelpaddle/forwarding/view.py
@@ -13,7 +13,7 @@
 
 from dotterelpaddle.forwarding.entry_tags import entries_tag, same_but_revision
 from dotterelpaddle.forwarding.evacuations import EvacuatedDomains, Evacuations
-from dotterelpaddle.forwarding.interface import EndpointsRead
+from dotterelpaddle.forwarding.interface import EndpointsUpdate
 from dotterelpaddle.forwarding.leaving import LeavingEndpoints
 from dotterelpaddle.forwarding.model import (
     UNKNOWN_INCARNATION,
@@ -165,7 +165,7 @@
             return endpoint_id(name=name, incarnation=UNKNOWN_INCARNATION)
         return entry.endpoint
 
-    def endpoints_since(self, *, revision: Revision | None) -> EndpointsRead | None:
+    def endpoints_since(self, *, revision: Revision | None) -> EndpointsUpdate | None:
         """Tell what has changed since a revision; heartbeats are no change.
 
         Args:
@@ -179,8 +179,8 @@
         if known is None:
             return None
         if revision is None or revision < self._changes_from:
-            return EndpointsRead(revision=known, entries=self.entries, whole=True)
-        return EndpointsRead(
+            return EndpointsUpdate(revision=known, entries=self.entries, whole=True)
+        return EndpointsUpdate(
             revision=known,
             entries=tuple(
                 entry
@@ -259,7 +259,7 @@
         self._note_complete()
         return True
 
-    def take_endpoints(self, *, read: EndpointsRead) -> bool:
+    def take_endpoints(self, *, read: EndpointsUpdate) -> bool:
         """Take in entries, or changes of them.
 
         Returns:
--- a/dotterelpaddle/peers/snapshot.py
+++ b/dotterelpaddle/peers/snapshot.py
@@ -14,7 +14,7 @@
 import orjson
 
 from dotterelpaddle.exceptions import ControlError, RecordError
-from dotterelpaddle.forwarding.interface import EndpointsRead
+from dotterelpaddle.forwarding.interface import EndpointsUpdate
 from dotterelpaddle.ids import EndpointName, Revision
 from dotterelpaddle.peers.starts import ToldStarts, heard_endpoints
 
@@ -44,7 +44,7 @@
         uses: Where it knows parts of prompts to be.
     """
 
-    endpoints: EndpointsRead | None
+    endpoints: EndpointsUpdate | None
     uses: tuple[Use, ...]
 
 
@@ -137,7 +137,7 @@
     return documents.configuration(document=_decompress(content))
 
 
-def _encode_endpoints(read: EndpointsRead) -> dict[str, Any]:
+def _encode_endpoints(read: EndpointsUpdate) -> dict[str, Any]:
     return {
         "revision": read.revision,
         "whole": read.whole,
@@ -186,7 +186,7 @@
 
 def _decode_endpoints(
     fields: dict[str, Any], documents: Documents, unusable: UnusableEntries
-) -> EndpointsRead:
+) -> EndpointsUpdate:
     """Decode entries; one that can't be used here is the same as none."""
     removed = {
         EndpointName(name): Revision(int(revision))
@@ -204,7 +204,7 @@
             removed[EndpointName(name)] = revision
             continue
         entries.append(entry)
-    return EndpointsRead(
+    return EndpointsUpdate(
         revision=Revision(int(fields["revision"])),
         entries=tuple(entries),
         removed=removed,
--- a/dotterelpaddle/platform/store.py
+++ b/dotterelpaddle/platform/store.py
@@ -10,7 +10,7 @@
 import orjson
 
 from dotterelpaddle.exceptions import HistoryLost, PlatformUnavailable
-from dotterelpaddle.forwarding.interface import EndpointsRead
+from dotterelpaddle.forwarding.interface import EndpointsUpdate
 from dotterelpaddle.ids import Revision
 from dotterelpaddle.network import LinkedBackend
 from dotterelpaddle.platform.names import Call, Table
@@ -76,17 +76,17 @@
             rows=answer["rows"], revision=_revision(answer), whole=False
         )
 
-    async def endpoints(self) -> EndpointsRead:
+    async def endpoints(self) -> EndpointsUpdate:
         """Read all endpoints' entries."""
         rows, revision = await self._read_all(table=Table.ENDPOINTS)
         entries, _ = self._entry_rows.decode(rows=rows)
-        return EndpointsRead(revision=revision, entries=entries, whole=True)
+        return EndpointsUpdate(revision=revision, entries=entries, whole=True)
 
-    async def endpoints_after(self, *, after: Revision, wait: float) -> EndpointsRead:
+    async def endpoints_after(self, *, after: Revision, wait: float) -> EndpointsUpdate:
         """Wait for changes of endpoints' entries, some seconds at most."""
         answer = await self._watch(table=Table.ENDPOINTS, after=after, wait=wait)
         entries, removed = self._entry_rows.decode(rows=answer["rows"])
-        return EndpointsRead(
+        return EndpointsUpdate(
             revision=_revision(answer), entries=entries, removed=removed
         )
 
--- a/dotterelpaddle/tests/forwarding/crash_world.py
+++ b/dotterelpaddle/tests/forwarding/crash_world.py
@@ -17,7 +17,7 @@
 import orjson
 
 from dotterelpaddle.address import Address
-from dotterelpaddle.forwarding.interface import EndpointsRead
+from dotterelpaddle.forwarding.interface import EndpointsUpdate
 from dotterelpaddle.ids import EndpointName, FailureDomain, Revision
 from dotterelpaddle.platform.documents import PlatformDocuments
 from dotterelpaddle.platform.names import Header
@@ -329,7 +329,7 @@
             configuration=self._documents.configuration(document=self._configuration)
         )
         view.take_endpoints(
-            read=EndpointsRead(
+            read=EndpointsUpdate(
                 revision=revision,
                 entries=tuple(
                     self._documents.endpoint(
--- a/dotterelpaddle/tests/forwarding/test_cold.py
+++ b/dotterelpaddle/tests/forwarding/test_cold.py
@@ -24,7 +24,7 @@
 )
 from dotterelpaddle.forwarding.evacuations import EvacuatedDomains
 from dotterelpaddle.forwarding.health import HealthBook
-from dotterelpaddle.forwarding.interface import EndpointsRead
+from dotterelpaddle.forwarding.interface import EndpointsUpdate
 from dotterelpaddle.forwarding.loads import LoadBook
 from dotterelpaddle.forwarding.model import (
     CallerLimits,
@@ -126,7 +126,7 @@
         revision = Revision((self.view.endpoints_revision or 0) + 1)
         told = tuple(replace(entry, revision=revision) for entry in entries)
         self.view.take_endpoints(
-            read=EndpointsRead(revision=revision, entries=told, whole=True)
+            read=EndpointsUpdate(revision=revision, entries=told, whole=True)
         )
 
     def settle(self) -> None:
--- a/dotterelpaddle/tests/forwarding/test_deltas.py
+++ b/dotterelpaddle/tests/forwarding/test_deltas.py
@@ -5,7 +5,7 @@
 from hypothesis import strategies as st
 from hypothesis.stateful import RuleBasedStateMachine, invariant, rule
 
-from dotterelpaddle.forwarding.interface import EndpointsRead
+from dotterelpaddle.forwarding.interface import EndpointsUpdate
 from dotterelpaddle.forwarding.model import EndpointEntry, EndpointState
 from dotterelpaddle.forwarding.removals import TOMBSTONE_TIME
 from dotterelpaddle.forwarding.view import FleetView
@@ -29,7 +29,7 @@
         self.reader = FleetView(clock=lambda: self.now)
         self.near = FleetView(clock=lambda: self.now)
         self.far = FleetView(clock=lambda: self.now)
-        self.late: list[EndpointsRead] = []
+        self.late: list[EndpointsUpdate] = []
         self._read(whole=True)
 
     def _read(
@@ -40,7 +40,7 @@
     ) -> None:
         revision = Revision(self.revision)
         self.reader.take_endpoints(
-            read=EndpointsRead(
+            read=EndpointsUpdate(
                 revision=revision,
                 entries=entries,
                 removed=dict.fromkeys(removed, revision),
@@ -115,13 +115,15 @@
 def test_heartbeats_are_not_told() -> None:
     view = FleetView(clock=lambda: 0.0)
     view.take_endpoints(
-        read=EndpointsRead(
+        read=EndpointsUpdate(
             revision=Revision(1), entries=(make_entry("a"), make_entry("b")), whole=True
         )
     )
     beat = make_entry("a", revision=Revision(5))
     left = make_entry("b", revision=Revision(6), state=EndpointState.DRAINING)
-    view.take_endpoints(read=EndpointsRead(revision=Revision(6), entries=(beat, left)))
+    view.take_endpoints(
+        read=EndpointsUpdate(revision=Revision(6), entries=(beat, left))
+    )
 
     told = view.endpoints_since(revision=Revision(1))
 
--- a/dotterelpaddle/tests/forwarding/test_follower.py
+++ b/dotterelpaddle/tests/forwarding/test_follower.py
@@ -14,7 +14,7 @@
 from dotterelpaddle.exceptions import PlatformUnavailable
 from dotterelpaddle.forwarding import follower as following
 from dotterelpaddle.forwarding.follower import Follower
-from dotterelpaddle.forwarding.interface import EndpointsRead, OperatorUpdate
+from dotterelpaddle.forwarding.interface import EndpointsUpdate, OperatorUpdate
 from dotterelpaddle.forwarding.metrics import ForwardMetrics
 from dotterelpaddle.forwarding.view import FleetView
 from dotterelpaddle.ids import Revision
@@ -75,14 +75,14 @@
         await anyio.sleep_forever()
         raise AssertionError(after)
 
-    async def endpoints(self) -> EndpointsRead:
-        return EndpointsRead(revision=Revision(1), entries=(), whole=True)
+    async def endpoints(self) -> EndpointsUpdate:
+        return EndpointsUpdate(revision=Revision(1), entries=(), whole=True)
 
-    async def endpoints_after(self, *, after: Revision, wait: float) -> EndpointsRead:
+    async def endpoints_after(self, *, after: Revision, wait: float) -> EndpointsUpdate:
         self.endpoint_calls += 1
         if self.failing:
             raise PlatformUnavailable(f"nothing after {after} within {wait}")
-        return EndpointsRead(revision=after, entries=())
+        return EndpointsUpdate(revision=after, entries=())
 
 
 class RecordingView(FleetView):
--- a/dotterelpaddle/tests/forwarding/test_herding.py
+++ b/dotterelpaddle/tests/forwarding/test_herding.py
@@ -17,7 +17,7 @@
     MANY_ROUTERS,
     load_bound,
 )
-from dotterelpaddle.forwarding.interface import EndpointsRead
+from dotterelpaddle.forwarding.interface import EndpointsUpdate
 from dotterelpaddle.forwarding.loads import LoadBook
 from dotterelpaddle.forwarding.placement import ForwardPlacer
 from dotterelpaddle.forwarding.quiet import QuietEndpoints
@@ -52,7 +52,7 @@
     view = FleetView(clock=lambda: 0.0)
     entries = tuple(make_entry(name, slots=64) for name in ENDPOINTS)
     view.take_endpoints(
-        read=EndpointsRead(revision=Revision(1), entries=entries, whole=True)
+        read=EndpointsUpdate(revision=Revision(1), entries=entries, whole=True)
     )
     shares = ShareBook(failure_domain=HERE, clock=lambda: 0.0)
     shares.aggregates = False
--- a/dotterelpaddle/tests/forwarding/test_isolation.py
+++ b/dotterelpaddle/tests/forwarding/test_isolation.py
@@ -6,7 +6,7 @@
 
 import pytest
 
-from dotterelpaddle.forwarding.interface import EndpointsRead
+from dotterelpaddle.forwarding.interface import EndpointsUpdate
 from dotterelpaddle.forwarding.isolation import Isolation
 from dotterelpaddle.forwarding.view import FleetView
 from dotterelpaddle.ids import FailureDomain, Revision, ServiceName
@@ -45,7 +45,7 @@
         view = FleetView(clock=lambda: 0.0)
         entries = tuple(_entry(domain, slots=many) for domain, many in slots.items())
         view.take_endpoints(
-            read=EndpointsRead(revision=Revision(1), entries=entries, whole=True)
+            read=EndpointsUpdate(revision=Revision(1), entries=entries, whole=True)
         )
         self.now = 0.0
         self.view = view
@@ -137,7 +137,9 @@
 def test_side_with_the_only_endpoint_of_a_service_stays() -> None:
     world = _even()
     only = _entry(HERE, slots=1, service="records")
-    world.view.take_endpoints(read=EndpointsRead(revision=Revision(2), entries=(only,)))
+    world.view.take_endpoints(
+        read=EndpointsUpdate(revision=Revision(2), entries=(only,))
+    )
     world.cut(NEAR, FAR)
 
     assert not world.isolated()
--- a/dotterelpaddle/tests/forwarding/test_leaving.py
+++ b/dotterelpaddle/tests/forwarding/test_leaving.py
@@ -6,7 +6,7 @@
 
 import pytest
 
-from dotterelpaddle.forwarding.interface import AnswerHead, EndpointsRead
+from dotterelpaddle.forwarding.interface import AnswerHead, EndpointsUpdate
 from dotterelpaddle.forwarding.leaving import (
     MOST_TOLD,
     REMEMBERED_TIME,
@@ -58,7 +58,7 @@
 
     def take(self, *entries: EndpointEntry, revision: int, **fields: object) -> None:
         self.view.take_endpoints(
-            read=EndpointsRead(
+            read=EndpointsUpdate(
                 **{  # type: ignore[arg-type]
                     "revision": Revision(revision),
                     "entries": tuple(
--- a/dotterelpaddle/tests/forwarding/test_placement.py
+++ b/dotterelpaddle/tests/forwarding/test_placement.py
@@ -20,7 +20,7 @@
 )
 from dotterelpaddle.forwarding.herding import LOAD_ALLOWANCE
 from dotterelpaddle.forwarding.interface import (
-    EndpointsRead,
+    EndpointsUpdate,
     ForwardRequest,
 )
 from dotterelpaddle.forwarding.loads import LoadBook
@@ -101,7 +101,7 @@
         )
         entries = tuple(self.entry(name) for name in self.endpoints)
         view.take_endpoints(
-            read=EndpointsRead(revision=Revision(1), entries=entries, whole=True)
+            read=EndpointsUpdate(revision=Revision(1), entries=entries, whole=True)
         )
 
     def entry(self, name: EndpointId) -> EndpointEntry:
@@ -195,7 +195,7 @@
     world = World(endpoints=(A, B))
     requests = [make_request(("system", 500), (f"chat-{n}", 10_000)) for n in range(30)]
     before = [world.choose(request).entry.endpoint for request in requests]
-    joined = EndpointsRead(revision=Revision(2), entries=(world.entry(C),))
+    joined = EndpointsUpdate(revision=Revision(2), entries=(world.entry(C),))
     world.parts.view.take_endpoints(read=joined)
 
     assert [world.choose(request).entry.endpoint for request in requests] == before
@@ -217,7 +217,7 @@
     first = world.choose(LONG)
     world.draining = frozenset({first.entry.endpoint})
     leaving = replace(first.entry, state=EndpointState.DRAINING, revision=Revision(2))
-    read = EndpointsRead(revision=Revision(2), entries=(leaving,))
+    read = EndpointsUpdate(revision=Revision(2), entries=(leaving,))
     world.parts.view.take_endpoints(read=read)
 
     again = world.choose(LONG)
@@ -231,7 +231,7 @@
     world = World()
     first = world.choose(LONG)
     gone = {first.entry.name: Revision(2)}
-    read = EndpointsRead(revision=Revision(2), entries=(), removed=gone)
+    read = EndpointsUpdate(revision=Revision(2), entries=(), removed=gone)
     world.parts.view.take_endpoints(read=read)
 
     assert world.choose(LONG).fetch_from is first.entry
@@ -242,7 +242,7 @@
     first = world.choose(LONG)
     world.parts.health.failed_hard(entry=first.entry, cause="broke off")
     gone = {first.entry.name: Revision(2)}
-    read = EndpointsRead(revision=Revision(2), entries=(), removed=gone)
+    read = EndpointsUpdate(revision=Revision(2), entries=(), removed=gone)
     world.parts.view.take_endpoints(read=read)
 
     assert world.choose(LONG).fetch_from is None
--- a/dotterelpaddle/tests/forwarding/test_starts.py
+++ b/dotterelpaddle/tests/forwarding/test_starts.py
@@ -11,7 +11,7 @@
 
 from dotterelpaddle.forwarding.caches import CacheMap
 from dotterelpaddle.forwarding.health import HealthBook
-from dotterelpaddle.forwarding.interface import EndpointsRead
+from dotterelpaddle.forwarding.interface import EndpointsUpdate
 from dotterelpaddle.forwarding.loads import LoadBook
 from dotterelpaddle.forwarding.model import EndpointState
 from dotterelpaddle.forwarding.shares import ShareBook
@@ -110,14 +110,14 @@
         rows = self.feed[first : first + data.draw(st.integers(1, 4))]
         entries, removed = self.decoders[router].decode(rows=rows)
         revision = Revision(rows[-1]["ver"])
-        read = EndpointsRead(revision=revision, entries=entries, removed=removed)
+        read = EndpointsUpdate(revision=revision, entries=entries, removed=removed)
         self.routers[router].take_endpoints(read=read)
 
     @rule(router=st.integers(0, 1))
     def read_all(self, router: int) -> None:
         entries, _ = self.decoders[router].decode(rows=self.table.values())
         revision = Revision(self.revision)
-        read = EndpointsRead(revision=revision, entries=entries, whole=True)
+        read = EndpointsUpdate(revision=revision, entries=entries, whole=True)
         self.routers[router].take_endpoints(read=read)
 
     @rule(router=st.integers(0, 1), whole=st.booleans())
@@ -172,14 +172,14 @@
         entry = DOCUMENTS.endpoint(
             name=NAMES[0], document=value, revision=Revision(revision)
         )
-        read = EndpointsRead(revision=Revision(revision), entries=(entry,))
+        read = EndpointsUpdate(revision=Revision(revision), entries=(entry,))
         view.take_endpoints(read=read)
 
 
 def test_row_of_an_earlier_start_does_not_bring_it_back_after_a_removal() -> None:
     view = FleetView(clock=lambda: 0.0)
     _hear(view, (1, 0), (2, 5))
-    gone = EndpointsRead(
+    gone = EndpointsUpdate(
         revision=Revision(3), entries=(), removed={NAMES[0]: Revision(3)}
     )
     view.take_endpoints(read=gone)
--- a/dotterelpaddle/tests/forwarding/test_view.py
+++ b/dotterelpaddle/tests/forwarding/test_view.py
@@ -9,7 +9,7 @@
 from hypothesis import strategies as st
 from hypothesis.stateful import RuleBasedStateMachine, initialize, invariant, rule
 
-from dotterelpaddle.forwarding.interface import EndpointsRead
+from dotterelpaddle.forwarding.interface import EndpointsUpdate
 from dotterelpaddle.forwarding.model import (
     CallerLimits,
     EndpointEntry,
@@ -59,7 +59,7 @@
         self.view = FleetView(clock=lambda: self.now)
         self.revision = 0
         self.rows: dict[EndpointName, EndpointEntry] = {}
-        self.news: list[EndpointsRead] = []
+        self.news: list[EndpointsUpdate] = []
         self.heard: dict[EndpointName, tuple[int, EndpointEntry | None]] = {}
         self.versions: list[int] = []
         self.draining: set[EndpointName] = set()
@@ -74,7 +74,7 @@
         entry = _entry(name, self.revision, state)
         self.rows[name] = entry
         self.news.append(
-            EndpointsRead(revision=Revision(self.revision), entries=(entry,))
+            EndpointsUpdate(revision=Revision(self.revision), entries=(entry,))
         )
 
     @rule(name=st.sampled_from(NAMES))
@@ -84,7 +84,7 @@
         self.revision += 1
         del self.rows[name]
         self.news.append(
-            EndpointsRead(
+            EndpointsUpdate(
                 revision=Revision(self.revision),
                 entries=(),
                 removed={name: Revision(self.revision)},
@@ -94,7 +94,7 @@
     @rule()
     def list_all(self) -> None:
         self.news.append(
-            EndpointsRead(
+            EndpointsUpdate(
                 revision=Revision(self.revision),
                 entries=tuple(self.rows.values()),
                 whole=True,
@@ -159,10 +159,10 @@
     view = FleetView(clock=lambda: 0.0)
     name = NAMES[1]
     for read in (
-        EndpointsRead(revision=Revision(1), entries=(_entry(name, 1),)),
-        EndpointsRead(revision=Revision(2), entries=(), removed={name: Revision(2)}),
-        EndpointsRead(revision=Revision(4), entries=(), removed={name: Revision(4)}),
-        EndpointsRead(revision=Revision(3), entries=(_entry(name, 3),)),
+        EndpointsUpdate(revision=Revision(1), entries=(_entry(name, 1),)),
+        EndpointsUpdate(revision=Revision(2), entries=(), removed={name: Revision(2)}),
+        EndpointsUpdate(revision=Revision(4), entries=(), removed={name: Revision(4)}),
+        EndpointsUpdate(revision=Revision(3), entries=(_entry(name, 3),)),
     ):
         view.take_endpoints(read=read)
 
@@ -175,12 +175,12 @@
     view = FleetView(clock=lambda: now)
     entry = _entry(NAMES[0], 1)
     view.take_endpoints(
-        read=EndpointsRead(revision=Revision(1), entries=(entry,), whole=True)
+        read=EndpointsUpdate(revision=Revision(1), entries=(entry,), whole=True)
     )
     now = 10.0
     view.note_return()
     view.take_endpoints(
-        read=EndpointsRead(revision=Revision(2), entries=(), whole=True)
+        read=EndpointsUpdate(revision=Revision(2), entries=(), whole=True)
     )
 
     held = view.ready(service=SERVICE)
@@ -196,11 +196,11 @@
     view = FleetView(clock=lambda: now)
     entry = _entry(NAMES[0], 1, EndpointState.DRAINING)
     view.take_endpoints(
-        read=EndpointsRead(revision=Revision(1), entries=(entry,), whole=True)
+        read=EndpointsUpdate(revision=Revision(1), entries=(entry,), whole=True)
     )
     view.note_return()
     view.take_endpoints(
-        read=EndpointsRead(revision=Revision(2), entries=(), whole=True)
+        read=EndpointsUpdate(revision=Revision(2), entries=(), whole=True)
     )
 
     assert view.ready(service=SERVICE) == ()
@@ -226,7 +226,7 @@
     view = FleetView(clock=lambda: 0.0)
     foreign = make_entry("foreign", service=ServiceName("unheard-of"))
     own = _entry(NAMES[0], 1)
-    read = EndpointsRead(revision=Revision(1), entries=(own, foreign), whole=True)
+    read = EndpointsUpdate(revision=Revision(1), entries=(own, foreign), whole=True)
     view.take_endpoints(read=read)
     before = view.used_entries
     route = ForwardRoute(
--- a/dotterelpaddle/tests/owners/fleet.py
+++ b/dotterelpaddle/tests/owners/fleet.py
@@ -14,7 +14,7 @@
 
 import anyio
 
-from dotterelpaddle.forwarding.interface import EndpointsRead
+from dotterelpaddle.forwarding.interface import EndpointsUpdate
 from dotterelpaddle.forwarding.model import EndpointEntry, EndpointState
 from dotterelpaddle.ids import (
     EndpointId,
@@ -330,7 +330,7 @@
         self._announce(removed={entry.name: Revision(self.revision)})
 
     def _announce(self, **fields: Any) -> None:
-        read = EndpointsRead(
+        read = EndpointsUpdate(
             **{
                 "revision": Revision(self.revision),
                 "entries": (),
@@ -341,7 +341,7 @@
         for router in self.routers:
             self.tasks.start_soon(self._tell_late, router, read)
 
-    async def _tell_late(self, router: Router, read: EndpointsRead) -> None:
+    async def _tell_late(self, router: Router, read: EndpointsUpdate) -> None:
         parts = router.parts
         await anyio.sleep(self.dice.uniform(*NEWS_TIME))
         if parts is not None:
@@ -349,7 +349,7 @@
 
     def _tell_all(self, parts: Parts) -> None:
         parts.knowledge.view.take_endpoints(
-            read=EndpointsRead(
+            read=EndpointsUpdate(
                 revision=Revision(self.revision),
                 entries=tuple(each.entry for each in self.endpoints.values()),
                 whole=True,
--- a/dotterelpaddle/tests/owners/test_owner.py
+++ b/dotterelpaddle/tests/owners/test_owner.py
@@ -10,7 +10,7 @@
 from collections import Counter
 
 from dotterelpaddle.forwarding.herding import load_bound
-from dotterelpaddle.forwarding.interface import EndpointsRead
+from dotterelpaddle.forwarding.interface import EndpointsUpdate
 from dotterelpaddle.forwarding.shares import Share
 from dotterelpaddle.ids import EndpointId, FailureDomain, Revision, RouterId
 from dotterelpaddle.owners.counts import BELIEVED_TIME, TELL_TIME
@@ -179,7 +179,7 @@
     for _ in range(4 * SLOTS):
         router.begin(endpoint=first.endpoints[3])
     first.view.take_endpoints(
-        read=EndpointsRead(
+        read=EndpointsUpdate(
             revision=Revision(2),
             entries=(
                 *first.view.entries,
--- a/dotterelpaddle/tests/owners/test_shards.py
+++ b/dotterelpaddle/tests/owners/test_shards.py
@@ -4,7 +4,7 @@
 
 from collections import Counter
 
-from dotterelpaddle.forwarding.interface import EndpointsRead
+from dotterelpaddle.forwarding.interface import EndpointsUpdate
 from dotterelpaddle.forwarding.view import FleetView
 from dotterelpaddle.ids import FailureDomain, Revision, ServiceName
 from dotterelpaddle.owners.shards import (
@@ -64,14 +64,14 @@
     assert shards.shards(service=SERVICE) == ()
     few = _entries(a=1, b=1)
     view.take_endpoints(
-        read=EndpointsRead(revision=Revision(1), entries=tuple(few), whole=True)
+        read=EndpointsUpdate(revision=Revision(1), entries=tuple(few), whole=True)
     )
     alone = owning_domain(service=SERVICE, domains={A, B})
     assert shards.shards(service=SERVICE) == (None,)
     assert {shards.owning_domain(endpoint=entry.endpoint) for entry in few} == {alone}
     many = _entries(a=6, b=6)
     view.take_endpoints(
-        read=EndpointsRead(revision=Revision(2), entries=tuple(many), whole=True)
+        read=EndpointsUpdate(revision=Revision(2), entries=tuple(many), whole=True)
     )
     assert shards.shards(service=SERVICE) == (A, B)
     assert shards.owning_domain(endpoint=many[-1].endpoint) == B
--- a/dotterelpaddle/tests/owners/world.py
+++ b/dotterelpaddle/tests/owners/world.py
@@ -9,7 +9,7 @@
 
 from dotterelpaddle.forwarding.caches import CacheMap
 from dotterelpaddle.forwarding.health import HealthBook
-from dotterelpaddle.forwarding.interface import EndpointsRead
+from dotterelpaddle.forwarding.interface import EndpointsUpdate
 from dotterelpaddle.forwarding.loads import LoadBook
 from dotterelpaddle.forwarding.placement import ForwardPlacer
 from dotterelpaddle.forwarding.quiet import QuietEndpoints
@@ -62,7 +62,7 @@
             ),
         )
         self.view.take_endpoints(
-            read=EndpointsRead(revision=Revision(1), entries=entries, whole=True)
+            read=EndpointsUpdate(revision=Revision(1), entries=entries, whole=True)
         )
         self.restart_owner()
 
--- a/dotterelpaddle/tests/peers/test_cache_lists.py
+++ b/dotterelpaddle/tests/peers/test_cache_lists.py
@@ -9,7 +9,7 @@
 import pytest
 
 from dotterelpaddle.forwarding.caches import CacheMap
-from dotterelpaddle.forwarding.interface import CachedParts, EndpointsRead
+from dotterelpaddle.forwarding.interface import CachedParts, EndpointsUpdate
 from dotterelpaddle.forwarding.quiet import QuietEndpoints
 from dotterelpaddle.forwarding.view import FleetView
 from dotterelpaddle.ids import EndpointId, FailureDomain, ModelId, Revision
@@ -51,7 +51,7 @@
             )
             for number in range(engines)
         )
-        read = EndpointsRead(revision=Revision(1), entries=entries, whole=True)
+        read = EndpointsUpdate(revision=Revision(1), entries=entries, whole=True)
         self.view.take_endpoints(read=read)
         route = SimpleNamespace(
             host="a.example",
--- a/dotterelpaddle/tests/peers/test_snapshot.py
+++ b/dotterelpaddle/tests/peers/test_snapshot.py
@@ -10,7 +10,7 @@
 
 from dotterelpaddle.exceptions import ControlError
 from dotterelpaddle.forwarding.caches import CacheMap
-from dotterelpaddle.forwarding.interface import EndpointsRead
+from dotterelpaddle.forwarding.interface import EndpointsUpdate
 from dotterelpaddle.forwarding.unusable import UnusableEntries
 from dotterelpaddle.forwarding.view import FleetView
 from dotterelpaddle.ids import EndpointId, EndpointName, Revision
@@ -39,7 +39,7 @@
         name=EndpointName("a"), document=orjson.dumps(row), revision=Revision(4)
     )
     view.take_endpoints(
-        read=EndpointsRead(revision=Revision(5), entries=(entry,), whole=True)
+        read=EndpointsUpdate(revision=Revision(5), entries=(entry,), whole=True)
     )
     return view
 
--- a/dotterelpaddle/tests/peers/test_word.py
+++ b/dotterelpaddle/tests/peers/test_word.py
@@ -6,7 +6,7 @@
 
 from dotterelpaddle.address import Address
 from dotterelpaddle.forwarding.evacuations import EvacuatedDomains
-from dotterelpaddle.forwarding.interface import EndpointsRead
+from dotterelpaddle.forwarding.interface import EndpointsUpdate
 from dotterelpaddle.forwarding.model import EndpointState
 from dotterelpaddle.forwarding.shares import Share, ShareBook
 from dotterelpaddle.forwarding.view import FleetView
@@ -25,7 +25,7 @@
     view = FleetView(clock=lambda: 0.0)
     entries = (make_entry("a", revision=Revision(revision), state=state),)
     view.take_endpoints(
-        read=EndpointsRead(revision=Revision(revision), entries=entries, whole=True)
+        read=EndpointsUpdate(revision=Revision(revision), entries=entries, whole=True)
     )
     return view
 
