--- a/dotterelpaddle/forwarding/interface.py
+++ b/dotterelpaddle/forwarding/interface.py
@@ -185,13 +185,13 @@
         entries: Entries that are there, or have changed.
         removed: Names whose entries are gone, with the revision of that; empty in
             a whole list.
-        whole: Whether entries that are not here do not exist.
+        is_snapshot: Whether entries that are not here do not exist.
     """
 
     revision: Revision
     entries: tuple[EndpointEntry, ...]
     removed: Mapping[EndpointName, Revision] = field(default_factory=dict)
-    whole: bool = False
+    is_snapshot: bool = False
 
 
 class Documents(Protocol):
--- a/dotterelpaddle/forwarding/view.py
+++ b/dotterelpaddle/forwarding/view.py
@@ -179,7 +179,9 @@
         if known is None:
             return None
         if revision is None or revision < self._changes_from:
-            return EndpointsUpdate(revision=known, entries=self.entries, whole=True)
+            return EndpointsUpdate(
+                revision=known, entries=self.entries, is_snapshot=True
+            )
         return EndpointsUpdate(
             revision=known,
             entries=tuple(
@@ -270,7 +272,7 @@
             changed = self._put(entry=entry) or changed
         for name, revision in read.removed.items():
             changed = self._remove(name, revision) or changed
-        if read.whole:
+        if read.is_snapshot:
             present = {entry.name for entry in read.entries}
             for name in tuple(self._entries):
                 if name not in present:
--- a/dotterelpaddle/peers/snapshot.py
+++ b/dotterelpaddle/peers/snapshot.py
@@ -140,7 +140,7 @@
 def _encode_endpoints(read: EndpointsUpdate) -> dict[str, Any]:
     return {
         "revision": read.revision,
-        "whole": read.whole,
+        "whole": read.is_snapshot,
         "entries": [
             [entry.name, entry.revision, entry.document.decode()]
             for entry in read.entries
@@ -208,7 +208,7 @@
         revision=Revision(int(fields["revision"])),
         entries=tuple(entries),
         removed=removed,
-        whole=bool(fields["whole"]),
+        is_snapshot=bool(fields["whole"]),
     )
 
 
--- a/dotterelpaddle/platform/store.py
+++ b/dotterelpaddle/platform/store.py
@@ -80,7 +80,7 @@
         """Read all endpoints' entries."""
         rows, revision = await self._read_all(table=Table.ENDPOINTS)
         entries, _ = self._entry_rows.decode(rows=rows)
-        return EndpointsUpdate(revision=revision, entries=entries, whole=True)
+        return EndpointsUpdate(revision=revision, entries=entries, is_snapshot=True)
 
     async def endpoints_after(self, *, after: Revision, wait: float) -> EndpointsUpdate:
         """Wait for changes of endpoints' entries, some seconds at most."""
--- a/dotterelpaddle/tests/forwarding/crash_world.py
+++ b/dotterelpaddle/tests/forwarding/crash_world.py
@@ -341,7 +341,7 @@
                     if name in self._entries
                 ),
                 removed={EndpointName(name): revision for name in removed},
-                whole=whole,
+                is_snapshot=whole,
             )
         )
 
--- a/dotterelpaddle/tests/forwarding/test_cold.py
+++ b/dotterelpaddle/tests/forwarding/test_cold.py
@@ -126,7 +126,7 @@
         revision = Revision((self.view.endpoints_revision or 0) + 1)
         told = tuple(replace(entry, revision=revision) for entry in entries)
         self.view.take_endpoints(
-            read=EndpointsUpdate(revision=revision, entries=told, whole=True)
+            read=EndpointsUpdate(revision=revision, entries=told, is_snapshot=True)
         )
 
     def settle(self) -> None:
--- a/dotterelpaddle/tests/forwarding/test_deltas.py
+++ b/dotterelpaddle/tests/forwarding/test_deltas.py
@@ -44,7 +44,7 @@
                 revision=revision,
                 entries=entries,
                 removed=dict.fromkeys(removed, revision),
-                whole=whole,
+                is_snapshot=whole,
             )
         )
 
@@ -116,7 +116,9 @@
     view = FleetView(clock=lambda: 0.0)
     view.take_endpoints(
         read=EndpointsUpdate(
-            revision=Revision(1), entries=(make_entry("a"), make_entry("b")), whole=True
+            revision=Revision(1),
+            entries=(make_entry("a"), make_entry("b")),
+            is_snapshot=True,
         )
     )
     beat = make_entry("a", revision=Revision(5))
@@ -129,4 +131,4 @@
 
     assert told is not None
     assert told.entries == (left,)
-    assert not told.whole
+    assert not told.is_snapshot
--- a/dotterelpaddle/tests/forwarding/test_follower.py
+++ b/dotterelpaddle/tests/forwarding/test_follower.py
@@ -76,7 +76,7 @@
         raise AssertionError(after)
 
     async def endpoints(self) -> EndpointsUpdate:
-        return EndpointsUpdate(revision=Revision(1), entries=(), whole=True)
+        return EndpointsUpdate(revision=Revision(1), entries=(), is_snapshot=True)
 
     async def endpoints_after(self, *, after: Revision, wait: float) -> EndpointsUpdate:
         self.endpoint_calls += 1
--- a/dotterelpaddle/tests/forwarding/test_isolation.py
+++ b/dotterelpaddle/tests/forwarding/test_isolation.py
@@ -45,7 +45,9 @@
         view = FleetView(clock=lambda: 0.0)
         entries = tuple(_entry(domain, slots=many) for domain, many in slots.items())
         view.take_endpoints(
-            read=EndpointsUpdate(revision=Revision(1), entries=entries, whole=True)
+            read=EndpointsUpdate(
+                revision=Revision(1), entries=entries, is_snapshot=True
+            )
         )
         self.now = 0.0
         self.view = view
--- a/dotterelpaddle/tests/forwarding/test_placement.py
+++ b/dotterelpaddle/tests/forwarding/test_placement.py
@@ -101,7 +101,9 @@
         )
         entries = tuple(self.entry(name) for name in self.endpoints)
         view.take_endpoints(
-            read=EndpointsUpdate(revision=Revision(1), entries=entries, whole=True)
+            read=EndpointsUpdate(
+                revision=Revision(1), entries=entries, is_snapshot=True
+            )
         )
 
     def entry(self, name: EndpointId) -> EndpointEntry:
--- a/dotterelpaddle/tests/forwarding/test_starts.py
+++ b/dotterelpaddle/tests/forwarding/test_starts.py
@@ -117,7 +117,7 @@
     def read_all(self, router: int) -> None:
         entries, _ = self.decoders[router].decode(rows=self.table.values())
         revision = Revision(self.revision)
-        read = EndpointsUpdate(revision=revision, entries=entries, whole=True)
+        read = EndpointsUpdate(revision=revision, entries=entries, is_snapshot=True)
         self.routers[router].take_endpoints(read=read)
 
     @rule(router=st.integers(0, 1), whole=st.booleans())
--- a/dotterelpaddle/tests/forwarding/test_view.py
+++ b/dotterelpaddle/tests/forwarding/test_view.py
@@ -97,7 +97,7 @@
             EndpointsUpdate(
                 revision=Revision(self.revision),
                 entries=tuple(self.rows.values()),
-                whole=True,
+                is_snapshot=True,
             )
         )
 
@@ -111,7 +111,7 @@
             self._note(entry.name, entry.revision, entry)
         for name, revision in read.removed.items():
             self._note(name, revision, None)
-        if read.whole:
+        if read.is_snapshot:
             present = {entry.name for entry in read.entries}
             for name, (known, last) in tuple(self.heard.items()):
                 if name not in present and last and known <= read.revision:
@@ -175,12 +175,12 @@
     view = FleetView(clock=lambda: now)
     entry = _entry(NAMES[0], 1)
     view.take_endpoints(
-        read=EndpointsUpdate(revision=Revision(1), entries=(entry,), whole=True)
+        read=EndpointsUpdate(revision=Revision(1), entries=(entry,), is_snapshot=True)
     )
     now = 10.0
     view.note_return()
     view.take_endpoints(
-        read=EndpointsUpdate(revision=Revision(2), entries=(), whole=True)
+        read=EndpointsUpdate(revision=Revision(2), entries=(), is_snapshot=True)
     )
 
     held = view.ready(service=SERVICE)
@@ -196,11 +196,11 @@
     view = FleetView(clock=lambda: now)
     entry = _entry(NAMES[0], 1, EndpointState.DRAINING)
     view.take_endpoints(
-        read=EndpointsUpdate(revision=Revision(1), entries=(entry,), whole=True)
+        read=EndpointsUpdate(revision=Revision(1), entries=(entry,), is_snapshot=True)
     )
     view.note_return()
     view.take_endpoints(
-        read=EndpointsUpdate(revision=Revision(2), entries=(), whole=True)
+        read=EndpointsUpdate(revision=Revision(2), entries=(), is_snapshot=True)
     )
 
     assert view.ready(service=SERVICE) == ()
@@ -226,7 +226,9 @@
     view = FleetView(clock=lambda: 0.0)
     foreign = make_entry("foreign", service=ServiceName("unheard-of"))
     own = _entry(NAMES[0], 1)
-    read = EndpointsUpdate(revision=Revision(1), entries=(own, foreign), whole=True)
+    read = EndpointsUpdate(
+        revision=Revision(1), entries=(own, foreign), is_snapshot=True
+    )
     view.take_endpoints(read=read)
     before = view.used_entries
     route = ForwardRoute(
--- a/dotterelpaddle/tests/owners/fleet.py
+++ b/dotterelpaddle/tests/owners/fleet.py
@@ -352,7 +352,7 @@
             read=EndpointsUpdate(
                 revision=Revision(self.revision),
                 entries=tuple(each.entry for each in self.endpoints.values()),
-                whole=True,
+                is_snapshot=True,
             )
         )
 
--- a/dotterelpaddle/tests/owners/test_owner.py
+++ b/dotterelpaddle/tests/owners/test_owner.py
@@ -190,7 +190,7 @@
                     for n in range(40)
                 ),
             ),
-            whole=True,
+            is_snapshot=True,
         )
     )
     _, question = router.question(must=False)
--- a/dotterelpaddle/tests/owners/world.py
+++ b/dotterelpaddle/tests/owners/world.py
@@ -62,7 +62,9 @@
             ),
         )
         self.view.take_endpoints(
-            read=EndpointsUpdate(revision=Revision(1), entries=entries, whole=True)
+            read=EndpointsUpdate(
+                revision=Revision(1), entries=entries, is_snapshot=True
+            )
         )
         self.restart_owner()
 
--- a/dotterelpaddle/tests/peers/test_cache_lists.py
+++ b/dotterelpaddle/tests/peers/test_cache_lists.py
@@ -51,7 +51,7 @@
             )
             for number in range(engines)
         )
-        read = EndpointsUpdate(revision=Revision(1), entries=entries, whole=True)
+        read = EndpointsUpdate(revision=Revision(1), entries=entries, is_snapshot=True)
         self.view.take_endpoints(read=read)
         route = SimpleNamespace(
             host="a.example",
--- a/dotterelpaddle/tests/peers/test_word.py
+++ b/dotterelpaddle/tests/peers/test_word.py
@@ -25,7 +25,9 @@
     view = FleetView(clock=lambda: 0.0)
     entries = (make_entry("a", revision=Revision(revision), state=state),)
     view.take_endpoints(
-        read=EndpointsUpdate(revision=Revision(revision), entries=entries, whole=True)
+        read=EndpointsUpdate(
+            revision=Revision(revision), entries=entries, is_snapshot=True
+        )
     )
     return view
 
