--- a/dotterelpaddle/forwarding/interface.py
+++ b/dotterelpaddle/forwarding/interface.py
@@ -194,7 +194,7 @@
     is_snapshot: bool = False
 
 
-class Documents(Protocol):
+class DocumentDecoder(Protocol):
     """Decodes what the source holds; routers pass it on as it is."""
 
     def configuration(self, *, document: bytes) -> FleetConfiguration:
--- a/dotterelpaddle/forwarding/parts.py
+++ b/dotterelpaddle/forwarding/parts.py
@@ -51,7 +51,7 @@
     from dotterelpaddle.clock import Clock
     from dotterelpaddle.forwarding.interface import (
         CachesReader,
-        Documents,
+        DocumentDecoder,
         Source,
         WireCodec,
     )
@@ -74,7 +74,7 @@
 
     source: Source
     protocols: WireCodec
-    documents: Documents
+    documents: DocumentDecoder
     caches_reader: CachesReader
     links: Links
     clock: Clock
--- a/dotterelpaddle/peers/fetching.py
+++ b/dotterelpaddle/peers/fetching.py
@@ -23,7 +23,7 @@
 
     from dotterelpaddle.clock import Clock
     from dotterelpaddle.forwarding.caches import CacheMap
-    from dotterelpaddle.forwarding.interface import Documents
+    from dotterelpaddle.forwarding.interface import DocumentDecoder
     from dotterelpaddle.forwarding.view import FleetView
     from dotterelpaddle.network import LinkedBackend
     from dotterelpaddle.peers.cache_lists import CacheLists
@@ -72,7 +72,7 @@
         caches: CacheMap,
         directory: PeerDirectory,
         word: PeersWord,
-        documents: Documents,
+        documents: DocumentDecoder,
         cache_lists: CacheLists,
         platform_age: Callable[[], float],
         backend: LinkedBackend,
--- a/dotterelpaddle/peers/snapshot.py
+++ b/dotterelpaddle/peers/snapshot.py
@@ -20,7 +20,7 @@
 
 if TYPE_CHECKING:
     from dotterelpaddle.forwarding.caches import CacheMap
-    from dotterelpaddle.forwarding.interface import Documents
+    from dotterelpaddle.forwarding.interface import DocumentDecoder
     from dotterelpaddle.forwarding.model import FleetConfiguration
     from dotterelpaddle.forwarding.unusable import UnusableEntries
     from dotterelpaddle.forwarding.uses import Use
@@ -124,7 +124,7 @@
 
 
 def decode_configuration(
-    *, content: bytes, documents: Documents
+    *, content: bytes, documents: DocumentDecoder
 ) -> FleetConfiguration | None:
     """Turn a handed out configuration back into one, None if there was none.
 
@@ -150,7 +150,7 @@
 
 
 def decode_snapshot(
-    *, content: bytes, documents: Documents, unusable: UnusableEntries
+    *, content: bytes, documents: DocumentDecoder, unusable: UnusableEntries
 ) -> Snapshot:
     """Turn a document back into what it holds.
 
@@ -185,7 +185,7 @@
 
 
 def _decode_endpoints(
-    fields: dict[str, Any], documents: Documents, unusable: UnusableEntries
+    fields: dict[str, Any], documents: DocumentDecoder, unusable: UnusableEntries
 ) -> EndpointsUpdate:
     """Decode entries; one that can't be used here is the same as none."""
     removed = {
--- a/dotterelpaddle/platform/operator_rows.py
+++ b/dotterelpaddle/platform/operator_rows.py
@@ -16,7 +16,7 @@
 if TYPE_CHECKING:
     from collections.abc import Sequence
 
-    from dotterelpaddle.forwarding.interface import Documents
+    from dotterelpaddle.forwarding.interface import DocumentDecoder
     from dotterelpaddle.forwarding.model import FleetConfiguration
     from dotterelpaddle.platform.rows import Row
 
@@ -30,7 +30,7 @@
         documents: Decodes configurations.
     """
 
-    def __init__(self, *, documents: Documents) -> None:
+    def __init__(self, *, documents: DocumentDecoder) -> None:
         self._documents = documents
 
     def decode(
--- a/dotterelpaddle/platform/rows.py
+++ b/dotterelpaddle/platform/rows.py
@@ -13,7 +13,7 @@
 if TYPE_CHECKING:
     from collections.abc import Iterable, Sequence
 
-    from dotterelpaddle.forwarding.interface import Documents
+    from dotterelpaddle.forwarding.interface import DocumentDecoder
     from dotterelpaddle.forwarding.model import EndpointEntry
 
 Row = dict[str, Any]
@@ -27,7 +27,7 @@
         documents: Decodes the values.
     """
 
-    def __init__(self, *, documents: Documents) -> None:
+    def __init__(self, *, documents: DocumentDecoder) -> None:
         self._documents = documents
         self._unusable = UnusableEntries()
 
--- a/dotterelpaddle/platform/store.py
+++ b/dotterelpaddle/platform/store.py
@@ -21,7 +21,7 @@
     from collections.abc import Mapping
 
     from dotterelpaddle.address import Address
-    from dotterelpaddle.forwarding.interface import Documents, OperatorUpdate
+    from dotterelpaddle.forwarding.interface import DocumentDecoder, OperatorUpdate
     from dotterelpaddle.links import Links
     from dotterelpaddle.platform.rows import Row
 
@@ -48,7 +48,9 @@
         links: The process's links.
     """
 
-    def __init__(self, *, address: Address, documents: Documents, links: Links) -> None:
+    def __init__(
+        self, *, address: Address, documents: DocumentDecoder, links: Links
+    ) -> None:
         self._address = address
         self._operator_rows = OperatorRows(documents=documents)
         self._entry_rows = EntryRows(documents=documents)
