--- a/dotterelpaddle/forwarding/interface.py
+++ b/dotterelpaddle/forwarding/interface.py
@@ -230,7 +230,7 @@
     leaving: bool = False
 
 
-class CachesReader(Protocol):
+class CacheReader(Protocol):
     """Asks endpoints for what they have cached."""
 
     async def cached_parts(self, *, entry: EndpointEntry) -> CachedParts:
--- a/dotterelpaddle/forwarding/parts.py
+++ b/dotterelpaddle/forwarding/parts.py
@@ -50,7 +50,7 @@
 if TYPE_CHECKING:
     from dotterelpaddle.clock import Clock
     from dotterelpaddle.forwarding.interface import (
-        CachesReader,
+        CacheReader,
         DocumentDecoder,
         Source,
         WireCodec,
@@ -75,7 +75,7 @@
     source: Source
     protocols: WireCodec
     documents: DocumentDecoder
-    caches_reader: CachesReader
+    caches_reader: CacheReader
     links: Links
     clock: Clock
 
--- a/dotterelpaddle/peers/cache_lists.py
+++ b/dotterelpaddle/peers/cache_lists.py
@@ -19,7 +19,7 @@
 
     from dotterelpaddle.clock import Clock
     from dotterelpaddle.forwarding.caches import CacheMap
-    from dotterelpaddle.forwarding.interface import CachesReader
+    from dotterelpaddle.forwarding.interface import CacheReader
     from dotterelpaddle.forwarding.model import EndpointEntry
     from dotterelpaddle.forwarding.quiet import QuietEndpoints
     from dotterelpaddle.forwarding.view import FleetView
@@ -105,7 +105,7 @@
         word: PeersWord,
         shards: ShardMap,
         quiet: QuietEndpoints,
-        reader: CachesReader,
+        reader: CacheReader,
         failure_domain: FailureDomain,
         clock: Clock,
     ) -> None:
