--- a/dotterelpaddle/forwarding/follower.py
+++ b/dotterelpaddle/forwarding/follower.py
@@ -16,8 +16,8 @@
     from dotterelpaddle.clock import Clock
     from dotterelpaddle.forwarding.interface import (
         OperatorUpdate,
+        PeerStatus,
         Source,
-        Vouching,
     )
     from dotterelpaddle.forwarding.metrics import ForwardMetrics
     from dotterelpaddle.forwarding.view import FleetView
@@ -100,7 +100,7 @@
         *,
         source: Source,
         view: FleetView,
-        word: Vouching,
+        word: PeerStatus,
         metrics: ForwardMetrics,
         leaving_time: float,
         clock: Clock,
--- a/dotterelpaddle/forwarding/interface.py
+++ b/dotterelpaddle/forwarding/interface.py
@@ -241,7 +241,7 @@
         """
 
 
-class Vouching(Protocol):
+class PeerStatus(Protocol):
     """What other routers say of the source."""
 
     @property
