--- a/dotterelpaddle/forwarding/follower.py
+++ b/dotterelpaddle/forwarding/follower.py
@@ -198,7 +198,7 @@
     def _must_look_itself(self) -> bool:
         """Whether no one else's word on the configuration is to be relied on."""
         age = min(self.configuration_age, self._word.configuration_age)
-        return self._word.reads_first or age >= CONFIGURATION_TRUST
+        return self._word.is_platform_reader or age >= CONFIGURATION_TRUST
 
     async def _until_on_its_own(self) -> None:
         """Wait while others pass on each new configuration, and vouch for it."""
@@ -236,7 +236,7 @@
         await anyio.sleep(LEAST_PAUSE * jitter)
         while self._word.endpoints_passed_on or not self._word.endpoints_behind:
             age = min(self.endpoints_age, self._word.endpoints_age)
-            due = self._word.reads_first or age >= self._endpoints_trust
+            due = self._word.is_platform_reader or age >= self._endpoints_trust
             if due and self._clock() >= due_at:
                 return
             await anyio.sleep(self._look_pause)
--- a/dotterelpaddle/forwarding/interface.py
+++ b/dotterelpaddle/forwarding/interface.py
@@ -245,7 +245,7 @@
     """What other routers say of the source."""
 
     @property
-    def reads_first(self) -> bool:
+    def is_platform_reader(self) -> bool:
         """Whether this router reads from the source for those that it hears."""
 
     @property
--- a/dotterelpaddle/peers/cache_lists.py
+++ b/dotterelpaddle/peers/cache_lists.py
@@ -132,7 +132,7 @@
             engines=len(engines),
             waited=self._clock() - self._started_at,
             owns=owns,
-            first=self._word.reads_first,
+            first=self._word.is_platform_reader,
         ):
             case Asking.NONE:
                 self._caches.mark_known()
--- a/dotterelpaddle/peers/word.py
+++ b/dotterelpaddle/peers/word.py
@@ -44,7 +44,7 @@
         self._clock = clock
 
     @property
-    def reads_first(self) -> bool:
+    def is_platform_reader(self) -> bool:
         """Whether this router reads from the platform for those that it hears.
 
         It is the first one by rank that reaches the platform: routers rely on what the
@@ -86,7 +86,7 @@
     @property
     def endpoints_passed_on(self) -> bool:
         """Whether others pass endpoints on to this router in good time."""
-        return self._shares.aggregated and not self.reads_first
+        return self._shares.aggregated and not self.is_platform_reader
 
     @property
     def configuration_age(self) -> float:
--- a/dotterelpaddle/tests/forwarding/test_follower.py
+++ b/dotterelpaddle/tests/forwarding/test_follower.py
@@ -35,7 +35,7 @@
 class ScriptedWord:
     """What others vouch for, as the test says; counts how often it is asked."""
 
-    reads_first: bool = False
+    is_platform_reader: bool = False
     passed_on: bool = False
     endpoints_passed_on: bool = False
     configuration_age: float = 0.0
@@ -150,7 +150,7 @@
 
 
 async def test_router_that_reads_first_does_not_wait_for_others() -> None:
-    word, source = ScriptedWord(reads_first=True), ScriptedSource()
+    word, source = ScriptedWord(is_platform_reader=True), ScriptedSource()
     async with _follow(word, source):
         await until(lambda: source.endpoint_calls > 2)
         await until(lambda: source.waits)
--- a/dotterelpaddle/tests/peers/test_plan.py
+++ b/dotterelpaddle/tests/peers/test_plan.py
@@ -277,7 +277,7 @@
     fleet = _fleet(routers=58)
     await fleet.run(START_TIME)
 
-    assert sum(node.word.reads_first for node in fleet.nodes) == 1
+    assert sum(node.word.is_platform_reader for node in fleet.nodes) == 1
     relying = [node for node in fleet.nodes if node.word.passed_on]
     assert len(relying) == 58 - 2 * len(DOMAINS)
 
@@ -313,6 +313,6 @@
     await fleet.run(CALM_TIME)
 
     assert {node.load(A) for node in fleet.nodes} == {held}
-    assert sum(node.word.reads_first for node in fleet.nodes) == 1
+    assert sum(node.word.is_platform_reader for node in fleet.nodes) == 1
     for node in fleet.nodes:
         assert all(node.directory.heard_domains().values())
--- a/dotterelpaddle/tests/peers/test_word.py
+++ b/dotterelpaddle/tests/peers/test_word.py
@@ -87,7 +87,7 @@
 def test_lone_router_reads_for_itself() -> None:
     world = World(view=_view(revision=1))
 
-    assert world.word.reads_first
+    assert world.word.is_platform_reader
     assert world.word.endpoints_age == NEVER
     assert world.word.configuration_age == NEVER
     assert not world.word.endpoints_behind
@@ -101,7 +101,7 @@
         for other in names:
             if other != name:
                 world.hear(other, view=world.view)
-        first.append(world.word.reads_first)
+        first.append(world.word.is_platform_reader)
 
     assert first.count(True) == 1
 
@@ -115,12 +115,12 @@
         for other in names:
             if other != name:
                 worlds[name].hear(other, view=worlds[name].view)
-    (first,) = [name for name in names if worlds[name].word.reads_first]
+    (first,) = [name for name in names if worlds[name].word.is_platform_reader]
     others = [name for name in names if name != first]
     for name in others:
         worlds[name].hear(first, view=worlds[name].view, cut_off=True)
 
-    assert [worlds[name].word.reads_first for name in others].count(True) == 1
+    assert [worlds[name].word.is_platform_reader for name in others].count(True) == 1
 
 
 def test_word_of_one_that_knows_the_same_grows_old() -> None:
@@ -164,7 +164,7 @@
     world.directory.look()
 
     assert world.word.endpoints_age == NEVER
-    assert world.word.reads_first
+    assert world.word.is_platform_reader
 
 
 def test_router_that_relies_on_aggregators_is_told_all_news() -> None:
