--- a/dotterelpaddle/forwarding/follower.py
+++ b/dotterelpaddle/forwarding/follower.py
@@ -178,7 +178,7 @@
             read = await self._source.configuration_after(
                 after=after, wait=CONFIGURATION_WAIT
             )
-        elif self._word.passed_on:
+        elif self._word.receives_configurations:
             await self._until_on_its_own()
             # What others passed on meanwhile makes all that came before it old.
             return None
@@ -202,7 +202,7 @@
 
     async def _until_on_its_own(self) -> None:
         """Wait while others pass on each new configuration, and vouch for it."""
-        while self._word.passed_on and not self._must_look_itself:
+        while self._word.receives_configurations and not self._must_look_itself:
             await anyio.sleep(PASSED_ON_PAUSE)
 
     async def _wait_long(self, *, after: Revision) -> OperatorUpdate | None:
@@ -243,7 +243,7 @@
 
     @property
     def _look_pause(self) -> float:
-        return PASSED_ON_PAUSE if self._word.passed_on else LOOK_PAUSE
+        return PASSED_ON_PAUSE if self._word.receives_configurations else LOOK_PAUSE
 
     async def _keep_looking(self) -> None:
         while True:
--- a/dotterelpaddle/forwarding/interface.py
+++ b/dotterelpaddle/forwarding/interface.py
@@ -249,7 +249,7 @@
         """Whether this router reads from the source for those that it hears."""
 
     @property
-    def passed_on(self) -> bool:
+    def receives_configurations(self) -> bool:
         """Whether others pass configurations on, so that this router need not ask."""
 
     @property
--- a/dotterelpaddle/peers/word.py
+++ b/dotterelpaddle/peers/word.py
@@ -75,7 +75,7 @@
         return None if owner is None else owner.router == own.router
 
     @property
-    def passed_on(self) -> bool:
+    def receives_configurations(self) -> bool:
         """Whether others pass configurations on to this router in good time.
 
         Aggregators wait for them at the platform, each for itself.
--- a/dotterelpaddle/tests/peers/test_plan.py
+++ b/dotterelpaddle/tests/peers/test_plan.py
@@ -278,7 +278,7 @@
     await fleet.run(START_TIME)
 
     assert sum(node.word.is_platform_reader for node in fleet.nodes) == 1
-    relying = [node for node in fleet.nodes if node.word.passed_on]
+    relying = [node for node in fleet.nodes if node.word.receives_configurations]
     assert len(relying) == 58 - 2 * len(DOMAINS)
 
 
--- a/dotterelpaddle/tests/peers/test_word.py
+++ b/dotterelpaddle/tests/peers/test_word.py
@@ -171,12 +171,12 @@
     world = World(view=_view(revision=3))
     world.shares.aggregated = True
     world.shares.aggregates = False
-    alone = world.word.passed_on
+    alone = world.word.receives_configurations
     world.hear("other", view=_view(revision=3))
-    relying = world.word.passed_on
+    relying = world.word.receives_configurations
     world.shares.aggregates = True
 
-    assert (alone, relying, world.word.passed_on) == (False, True, False)
+    assert (alone, relying, world.word.receives_configurations) == (False, True, False)
 
 
 def test_endpoints_are_passed_on_to_all_but_the_one_that_reads_first() -> None:
@@ -198,4 +198,4 @@
     world.hear("other", view=_view(revision=3))
 
     assert not world.word.endpoints_passed_on
-    assert not world.word.passed_on
+    assert not world.word.receives_configurations
