--- a/dotterelpaddle/forwarding/interface.py
+++ b/dotterelpaddle/forwarding/interface.py
@@ -253,7 +253,7 @@
         """Whether others pass configurations on, so that this router need not ask."""
 
     @property
-    def endpoints_passed_on(self) -> bool:
+    def receives_endpoints(self) -> bool:
         """The same of endpoints."""
 
     @property
--- a/dotterelpaddle/peers/fetching.py
+++ b/dotterelpaddle/peers/fetching.py
@@ -130,9 +130,7 @@
         newest = self._word.better_informed
         self._looks_behind = 0 if newest is None else self._looks_behind + 1
         # One that is told of all news by others does not call the platform.
-        at_once = (
-            self._view.endpoints_revision is None or self._word.endpoints_passed_on
-        )
+        at_once = self._view.endpoints_revision is None or self._word.receives_endpoints
         return newest if at_once or self._looks_behind >= LOOKS_BEHIND else None
 
     @property
--- a/dotterelpaddle/peers/word.py
+++ b/dotterelpaddle/peers/word.py
@@ -84,7 +84,7 @@
         return relying and bool(self._directory.alive)
 
     @property
-    def endpoints_passed_on(self) -> bool:
+    def receives_endpoints(self) -> bool:
         """Whether others pass endpoints on to this router in good time."""
         return self._shares.aggregated and not self.is_platform_reader
 
--- a/dotterelpaddle/tests/forwarding/test_follower.py
+++ b/dotterelpaddle/tests/forwarding/test_follower.py
@@ -37,7 +37,7 @@
 
     is_platform_reader: bool = False
     receives_configurations: bool = False
-    endpoints_passed_on: bool = False
+    receives_endpoints: bool = False
     configuration_age: float = 0.0
     behind: bool = False
     age: float = 0.0
@@ -213,7 +213,7 @@
 
 async def test_router_that_is_told_all_news_makes_no_calls() -> None:
     word = ScriptedWord(
-        receives_configurations=True, endpoints_passed_on=True, behind=True
+        receives_configurations=True, receives_endpoints=True, behind=True
     )
     source = ScriptedSource()
     async with _follow(word, source):
@@ -224,7 +224,7 @@
 
 
 async def test_router_whose_others_know_nothing_new_calls_itself() -> None:
-    word = ScriptedWord(receives_configurations=True, endpoints_passed_on=True)
+    word = ScriptedWord(receives_configurations=True, receives_endpoints=True)
     source = ScriptedSource()
     async with _follow(word, source):
         await until(lambda: word.ages_told > LOOKS)
--- a/dotterelpaddle/tests/peers/test_word.py
+++ b/dotterelpaddle/tests/peers/test_word.py
@@ -188,7 +188,7 @@
         for other in names:
             if other != name:
                 world.hear(other, view=world.view)
-        passed_on.append(world.word.endpoints_passed_on)
+        passed_on.append(world.word.receives_endpoints)
 
     assert passed_on.count(False) == 1
 
@@ -197,5 +197,5 @@
     world = World(view=_view(revision=1))
     world.hear("other", view=_view(revision=3))
 
-    assert not world.word.endpoints_passed_on
+    assert not world.word.receives_endpoints
     assert not world.word.receives_configurations
