--- a/dotterelpaddle/forwarding/view.py
+++ b/dotterelpaddle/forwarding/view.py
@@ -41,7 +41,7 @@
 
 log = get_logger(name=__name__)
 
-COMPLETE_WAIT = 0.4
+STARTUP_WAIT_SECONDS = 0.4
 """Seconds after a router's start until which requests wait for configuration and
 endpoints; the platform answers in 4 ms when all is well. Later ones are refused at
 once: a router that starts behind a cut may know nothing for as long as that lasts."""
@@ -117,7 +117,7 @@
         """Wait until there is enough to serve requests, shortly after the start."""
         if self.complete:
             return
-        with anyio.move_on_after(COMPLETE_WAIT - self.age):
+        with anyio.move_on_after(STARTUP_WAIT_SECONDS - self.age):
             await self._completed.wait()
 
     @property
--- a/dotterelpaddle/tests/forwarding/test_view.py
+++ b/dotterelpaddle/tests/forwarding/test_view.py
@@ -20,7 +20,7 @@
     WeightedService,
 )
 from dotterelpaddle.forwarding.removals import RETURN_TIME
-from dotterelpaddle.forwarding.view import COMPLETE_WAIT, FleetView
+from dotterelpaddle.forwarding.view import STARTUP_WAIT_SECONDS, FleetView
 from dotterelpaddle.ids import EndpointName, Revision, ServiceName
 from dotterelpaddle.tests.forwarding.entries import make_entry
 
@@ -212,7 +212,7 @@
     """It started behind a cut: what comes in is refused at once, not held."""
     now = 0.0
     view = FleetView(clock=lambda: now)
-    now = COMPLETE_WAIT
+    now = STARTUP_WAIT_SECONDS
 
     with anyio.move_on_after(LIMIT) as scope:
         await view.wait_complete()
