--- a/dotterelpaddle/forwarding/filters.py
+++ b/dotterelpaddle/forwarding/filters.py
@@ -69,7 +69,7 @@
             RouteNotFound: If no route matches.
             NotAuthenticated: If the key is missing or unknown.
         """
-        await self._view.wait_complete()
+        await self._view.wait_until_complete()
         configuration = self._view.configuration
         if configuration is None:
             raise NotAccepting(
--- a/dotterelpaddle/forwarding/view.py
+++ b/dotterelpaddle/forwarding/view.py
@@ -113,7 +113,7 @@
         """Whether there is enough to serve requests."""
         return self._configuration is not None and self._endpoints_revision is not None
 
-    async def wait_complete(self) -> None:
+    async def wait_until_complete(self) -> None:
         """Wait until there is enough to serve requests, shortly after the start."""
         if self.complete:
             return
--- a/dotterelpaddle/tests/forwarding/test_view.py
+++ b/dotterelpaddle/tests/forwarding/test_view.py
@@ -215,7 +215,7 @@
     now = STARTUP_WAIT_SECONDS
 
     with anyio.move_on_after(LIMIT) as scope:
-        await view.wait_complete()
+        await view.wait_until_complete()
 
     assert not scope.cancelled_caught
     assert not view.complete
