--- a/dotterelpaddle/forwarding/isolation.py
+++ b/dotterelpaddle/forwarding/isolation.py
@@ -94,7 +94,7 @@
         # Routers are forgotten after a while; their domain stays lost without them.
         self._lost = (silent | self._lost) & unreachable
         others = heard.keys() | {
-            entry.failure_domain for entry in self._view.used_entries
+            entry.failure_domain for entry in self._view.routed_entries
         }
         here = (others | {self._failure_domain}) - self._lost
         isolated = len(self._lost) > len(here) and self._serves_more_there()
@@ -103,14 +103,14 @@
     def _serves_more_there(self) -> bool:
         """Tell whether no service has more slots on this side than on the other."""
         more_here: Counter[ServiceName] = Counter()
-        for entry in self._view.used_entries:
+        for entry in self._view.routed_entries:
             lost = entry.failure_domain in self._lost
             more_here[entry.service] += -entry.slots if lost else entry.slots
         return all(slots <= 0 for slots in more_here.values())
 
     def _unreachable(self) -> frozenset[FailureDomain]:
         """Failure domains with endpoints none of which can be reached."""
-        entries = self._view.used_entries
+        entries = self._view.routed_entries
         reached = self._reachability.reachable(entries=entries)
         return frozenset(entry.failure_domain for entry in entries) - {
             entry.failure_domain for entry in reached
--- a/dotterelpaddle/forwarding/reachability.py
+++ b/dotterelpaddle/forwarding/reachability.py
@@ -117,7 +117,7 @@
                     tasks.start_soon(self._probe, endpoint, probed)
 
     def _entries_in(self, *, failure_domain: FailureDomain) -> list[EndpointEntry]:
-        entries = self._view.used_entries
+        entries = self._view.routed_entries
         return [entry for entry in entries if entry.failure_domain == failure_domain]
 
     def _add(
--- a/dotterelpaddle/forwarding/view.py
+++ b/dotterelpaddle/forwarding/view.py
@@ -141,7 +141,7 @@
         return self._configuration.slow_starts if self._configuration else {}
 
     @property
-    def used_entries(self) -> tuple[EndpointEntry, ...]:
+    def routed_entries(self) -> tuple[EndpointEntry, ...]:
         """Entries of services that the configuration sends requests to.
 
         Others may be by another writer: they say nothing of the fleet's endpoints.
--- a/dotterelpaddle/tests/forwarding/test_view.py
+++ b/dotterelpaddle/tests/forwarding/test_view.py
@@ -230,7 +230,7 @@
         revision=Revision(1), entries=(own, foreign), is_snapshot=True
     )
     view.take_endpoints(read=read)
-    before = view.used_entries
+    before = view.routed_entries
     route = ForwardRoute(
         name="r",
         host="a.example",
@@ -245,5 +245,5 @@
     view.take_configuration(configuration=configuration)
 
     assert before == (own, foreign)
-    assert view.used_entries == (own,)
+    assert view.routed_entries == (own,)
     assert view.entries == (own, foreign)
