--- a/dotterelpaddle/forwarding/view.py
+++ b/dotterelpaddle/forwarding/view.py
@@ -158,7 +158,7 @@
         """Let somebody be told of each entry that comes in force."""
         self._entry_observer = observer
 
-    def start_of(self, name: EndpointName) -> EndpointId:
+    def current_endpoint_id(self, name: EndpointName) -> EndpointId:
         """Return the start of an endpoint that is in force."""
         entry = self._entries.get(name)
         if entry is None:
--- a/dotterelpaddle/peers/exchange.py
+++ b/dotterelpaddle/peers/exchange.py
@@ -252,7 +252,9 @@
                 await self._owners.receive(datagram=datagram, address=address)
                 continue
             try:
-                report = decode_report(datagram=datagram, start_of=self._view.start_of)
+                report = decode_report(
+                    datagram=datagram, start_of=self._view.current_endpoint_id
+                )
             except ControlError as error:
                 self._dropped += 1
                 log.warning(
