--- a/dotterelpaddle/forwarding/candidates.py
+++ b/dotterelpaddle/forwarding/candidates.py
@@ -117,7 +117,7 @@
         Where all that are left asked for quiet, it is the end of the shortest; an
         evacuation lasts for many seconds.
         """
-        listed = self._view.listed(service=service)
+        listed = self._view.registered(service=service)
         if listed and not self._view.evacuations.without(entries=listed):
             return EVACUATED_WAIT
         quiet = self._quiet.shortest(entries=self._view.ready(service=service))
--- a/dotterelpaddle/forwarding/residency.py
+++ b/dotterelpaddle/forwarding/residency.py
@@ -38,7 +38,7 @@
         service = exchange.service
         assert service is not None
         entries = (
-            *self._view.listed(service=service),
+            *self._view.registered(service=service),
             *self._view.last_resort(service=service),
         )
         return frozenset(
--- a/dotterelpaddle/forwarding/view.py
+++ b/dotterelpaddle/forwarding/view.py
@@ -199,13 +199,13 @@
                 return route
         return None
 
-    def listed(self, *, service: ServiceName) -> tuple[EndpointEntry, ...]:
+    def registered(self, *, service: ServiceName) -> tuple[EndpointEntry, ...]:
         """Endpoints of a service that take new work as their entries say."""
         return self._ready.get(service, ())
 
     def ready(self, *, service: ServiceName) -> tuple[EndpointEntry, ...]:
         """Endpoints of a service that take new work, as far as anybody has heard."""
-        staying = self._leaving.without(entries=self.listed(service=service))
+        staying = self._leaving.without(entries=self.registered(service=service))
         return self._evacuations.without(entries=staying)
 
     def last_resort(self, *, service: ServiceName) -> tuple[EndpointEntry, ...]:
@@ -214,7 +214,7 @@
         Their entries have just gone, or an answer has just said that they leave.
         """
         gone = self._removed.still_serving(service=service)
-        leaving = self._leaving.still_serving(entries=self.listed(service=service))
+        leaving = self._leaving.still_serving(entries=self.registered(service=service))
         return self._evacuations.without(
             entries=(*self._leaving.without(entries=gone), *leaving)
         )
--- a/dotterelpaddle/owners/placing.py
+++ b/dotterelpaddle/owners/placing.py
@@ -123,7 +123,7 @@
         names = frozenset(entry.endpoint for entry in usable)
         unusable = frozenset(
             entry.endpoint
-            for entry in self._view.listed(service=service)
+            for entry in self._view.registered(service=service)
             if entry.endpoint not in names
         )
         ranked = ranked_shards(
