--- a/dotterelpaddle/forwarding/follower.py
+++ b/dotterelpaddle/forwarding/follower.py
@@ -269,7 +269,7 @@
         away = AWAY_AFTER if self._failed_since_heard else AWAY_SURELY_AFTER
         if away < silent_for < float("inf"):
             log.info("platform_regained", silent_for=round(silent_for, 3))
-            self._view.note_return()
+            self._view.note_platform_recovery()
         self._heard_at = at
         self._failed_since_heard = False
 
--- a/dotterelpaddle/forwarding/view.py
+++ b/dotterelpaddle/forwarding/view.py
@@ -219,7 +219,7 @@
             entries=(*self._leaving.without(entries=gone), *leaving)
         )
 
-    def note_return(self) -> None:
+    def note_platform_recovery(self) -> None:
         """Note that the platform is back; entries may be missing for a while."""
         self._removed.note_return()
 
--- a/dotterelpaddle/tests/forwarding/test_follower.py
+++ b/dotterelpaddle/tests/forwarding/test_follower.py
@@ -90,7 +90,7 @@
 
     returns = 0
 
-    def note_return(self) -> None:
+    def note_platform_recovery(self) -> None:
         self.returns += 1
 
 
--- a/dotterelpaddle/tests/forwarding/test_leaving.py
+++ b/dotterelpaddle/tests/forwarding/test_leaving.py
@@ -108,7 +108,7 @@
 
 def test_entry_that_lapsed_and_is_back_takes_nothing_back(world: World) -> None:
     world.answer("a", leaving=True)
-    world.view.note_return()
+    world.view.note_platform_recovery()
     world.take(revision=2, removed={EndpointName("a"): Revision(2)})
     assert world.ready == ["b"]
     world.take(make_entry("a"), revision=3)
--- a/dotterelpaddle/tests/forwarding/test_view.py
+++ b/dotterelpaddle/tests/forwarding/test_view.py
@@ -178,7 +178,7 @@
         read=EndpointsUpdate(revision=Revision(1), entries=(entry,), is_snapshot=True)
     )
     now = 10.0
-    view.note_return()
+    view.note_platform_recovery()
     view.take_endpoints(
         read=EndpointsUpdate(revision=Revision(2), entries=(), is_snapshot=True)
     )
@@ -198,7 +198,7 @@
     view.take_endpoints(
         read=EndpointsUpdate(revision=Revision(1), entries=(entry,), is_snapshot=True)
     )
-    view.note_return()
+    view.note_platform_recovery()
     view.take_endpoints(
         read=EndpointsUpdate(revision=Revision(2), entries=(), is_snapshot=True)
     )
