--- a/dotterelpaddle/forwarding/follower.py
+++ b/dotterelpaddle/forwarding/follower.py
@@ -188,7 +188,7 @@
                 return after
             read = answer
         self._configuration_at = self._note_answer()
-        self._view.take_operator_read(read=read)
+        self._view.apply_operator_update(read=read)
         if after is None and read.configuration is None:
             # Nothing is configured yet; the first version comes any moment.
             await anyio.sleep(RETRY_PAUSE)
--- a/dotterelpaddle/forwarding/view.py
+++ b/dotterelpaddle/forwarding/view.py
@@ -223,7 +223,7 @@
         """Note that the platform is back; entries may be missing for a while."""
         self._removed.note_return()
 
-    def take_operator_read(self, *, read: OperatorUpdate) -> None:
+    def apply_operator_update(self, *, read: OperatorUpdate) -> None:
         """Take in what the operator wants.
 
         Evacuations come first: who has a configuration serves, and knows them by then.
