--- a/dotterelpaddle/forwarding/view.py
+++ b/dotterelpaddle/forwarding/view.py
@@ -239,9 +239,9 @@
                 changes=read.evacuations, revision=read.revision
             )
         if read.configuration is not None:
-            self.take_configuration(configuration=read.configuration)
+            self.apply_configuration(configuration=read.configuration)
 
-    def take_configuration(self, *, configuration: FleetConfiguration) -> bool:
+    def apply_configuration(self, *, configuration: FleetConfiguration) -> bool:
         """Put a configuration in force unless a later one is.
 
         Returns:
--- a/dotterelpaddle/peers/fetching.py
+++ b/dotterelpaddle/peers/fetching.py
@@ -156,7 +156,7 @@
                 content=content, documents=self._documents
             )
             if configuration is not None:
-                self._view.take_configuration(configuration=configuration)
+                self._view.apply_configuration(configuration=configuration)
         request = SnapshotRequest(
             revision=self._view.endpoints_revision, uses=self._lacks_uses
         )
--- a/dotterelpaddle/tests/forwarding/crash_world.py
+++ b/dotterelpaddle/tests/forwarding/crash_world.py
@@ -325,7 +325,7 @@
     ) -> None:
         view = parts.knowledge.view
         revision = Revision(self._revision)
-        view.take_configuration(
+        view.apply_configuration(
             configuration=self._documents.configuration(document=self._configuration)
         )
         view.take_endpoints(
--- a/dotterelpaddle/tests/forwarding/test_cold.py
+++ b/dotterelpaddle/tests/forwarding/test_cold.py
@@ -116,7 +116,7 @@
             failure_domain=HERE,
             generator=random.Random(self.name),
         )
-        self.view.take_configuration(configuration=CONFIGURATION)
+        self.view.apply_configuration(configuration=CONFIGURATION)
 
     def _clock(self) -> float:
         return self.now
--- a/dotterelpaddle/tests/forwarding/test_view.py
+++ b/dotterelpaddle/tests/forwarding/test_view.py
@@ -128,7 +128,7 @@
 
     @rule(version=st.integers(1, 50))
     def configure(self, version: int) -> None:
-        self.view.take_configuration(configuration=_configuration(version))
+        self.view.apply_configuration(configuration=_configuration(version))
         self.versions.append(self.view.version)
 
     @rule(seconds=st.floats(0.1, 30.0))
@@ -242,7 +242,7 @@
         max_attempts=1,
     )
     configuration = replace(_configuration(1), routes=(route,))
-    view.take_configuration(configuration=configuration)
+    view.apply_configuration(configuration=configuration)
 
     assert before == (own, foreign)
     assert view.routed_entries == (own,)
--- a/dotterelpaddle/tests/peers/test_cache_lists.py
+++ b/dotterelpaddle/tests/peers/test_cache_lists.py
@@ -58,7 +58,7 @@
             prefix="/",
             services=(SimpleNamespace(service=entries[0].service),),
         )
-        self.view.take_configuration(
+        self.view.apply_configuration(
             configuration=SimpleNamespace(version=1, routes=(route,))  # type: ignore[arg-type]
         )
         self.caches = CacheMap(clock=lambda: self.now)
--- a/dotterelpaddle/tests/peers/test_snapshot.py
+++ b/dotterelpaddle/tests/peers/test_snapshot.py
@@ -33,7 +33,7 @@
 def _view(version: int = 3) -> FleetView:
     view = FleetView(clock=lambda: 0.0)
     document = orjson.dumps(configuration(version=version))
-    view.take_configuration(configuration=DOCUMENTS.configuration(document=document))
+    view.apply_configuration(configuration=DOCUMENTS.configuration(document=document))
     row = RunnerStandin(name="a").entry(address=ANYWHERE, service=SERVICE)
     entry = DOCUMENTS.endpoint(
         name=EndpointName("a"), document=orjson.dumps(row), revision=Revision(4)
@@ -96,7 +96,7 @@
     document = ConfigurationDocument(view=view)
     first = document.content
     later = DOCUMENTS.configuration(document=orjson.dumps(configuration(version=9)))
-    view.take_configuration(configuration=later)
+    view.apply_configuration(configuration=later)
 
     taken = decode_configuration(content=document.content, documents=DOCUMENTS)
 
