--- a/dotterelpaddle/forwarding/follower.py
+++ b/dotterelpaddle/forwarding/follower.py
@@ -226,7 +226,7 @@
             after = max(after, self._view.endpoints_revision or after)
             read = await self._source.endpoints_after(after=after, wait=ENDPOINTS_WAIT)
         self._endpoints_at = self._note_answer()
-        self._view.take_endpoints(read=read)
+        self._view.apply_endpoints_update(read=read)
         return read.revision
 
     async def _until_due(self) -> None:
--- a/dotterelpaddle/forwarding/view.py
+++ b/dotterelpaddle/forwarding/view.py
@@ -261,7 +261,7 @@
         self._note_complete()
         return True
 
-    def take_endpoints(self, *, read: EndpointsUpdate) -> bool:
+    def apply_endpoints_update(self, *, read: EndpointsUpdate) -> bool:
         """Take in entries, or changes of them.
 
         Returns:
--- a/dotterelpaddle/peers/fetching.py
+++ b/dotterelpaddle/peers/fetching.py
@@ -165,7 +165,7 @@
             content=content, documents=self._documents, unusable=self._unusable
         )
         if snapshot.endpoints is not None:
-            self._view.take_endpoints(read=snapshot.endpoints)
+            self._view.apply_endpoints_update(read=snapshot.endpoints)
         if request.uses:
             self._caches.hear(uses=snapshot.uses)
             self._caches.mark_known()
--- a/dotterelpaddle/tests/forwarding/crash_world.py
+++ b/dotterelpaddle/tests/forwarding/crash_world.py
@@ -328,7 +328,7 @@
         view.apply_configuration(
             configuration=self._documents.configuration(document=self._configuration)
         )
-        view.take_endpoints(
+        view.apply_endpoints_update(
             read=EndpointsUpdate(
                 revision=revision,
                 entries=tuple(
--- a/dotterelpaddle/tests/forwarding/test_cold.py
+++ b/dotterelpaddle/tests/forwarding/test_cold.py
@@ -125,7 +125,7 @@
         """Take in a whole list of endpoints."""
         revision = Revision((self.view.endpoints_revision or 0) + 1)
         told = tuple(replace(entry, revision=revision) for entry in entries)
-        self.view.take_endpoints(
+        self.view.apply_endpoints_update(
             read=EndpointsUpdate(revision=revision, entries=told, is_snapshot=True)
         )
 
--- a/dotterelpaddle/tests/forwarding/test_herding.py
+++ b/dotterelpaddle/tests/forwarding/test_herding.py
@@ -51,7 +51,7 @@
     """One router that was told of the requests of all others."""
     view = FleetView(clock=lambda: 0.0)
     entries = tuple(make_entry(name, slots=64) for name in ENDPOINTS)
-    view.take_endpoints(
+    view.apply_endpoints_update(
         read=EndpointsUpdate(revision=Revision(1), entries=entries, is_snapshot=True)
     )
     shares = ShareBook(failure_domain=HERE, clock=lambda: 0.0)
--- a/dotterelpaddle/tests/forwarding/test_isolation.py
+++ b/dotterelpaddle/tests/forwarding/test_isolation.py
@@ -44,7 +44,7 @@
     def __init__(self, *, slots: dict[FailureDomain, int]) -> None:
         view = FleetView(clock=lambda: 0.0)
         entries = tuple(_entry(domain, slots=many) for domain, many in slots.items())
-        view.take_endpoints(
+        view.apply_endpoints_update(
             read=EndpointsUpdate(
                 revision=Revision(1), entries=entries, is_snapshot=True
             )
@@ -139,7 +139,7 @@
 def test_side_with_the_only_endpoint_of_a_service_stays() -> None:
     world = _even()
     only = _entry(HERE, slots=1, service="records")
-    world.view.take_endpoints(
+    world.view.apply_endpoints_update(
         read=EndpointsUpdate(revision=Revision(2), entries=(only,))
     )
     world.cut(NEAR, FAR)
--- a/dotterelpaddle/tests/forwarding/test_leaving.py
+++ b/dotterelpaddle/tests/forwarding/test_leaving.py
@@ -57,7 +57,7 @@
         return self.now
 
     def take(self, *entries: EndpointEntry, revision: int, **fields: object) -> None:
-        self.view.take_endpoints(
+        self.view.apply_endpoints_update(
             read=EndpointsUpdate(
                 **{  # type: ignore[arg-type]
                     "revision": Revision(revision),
--- a/dotterelpaddle/tests/forwarding/test_placement.py
+++ b/dotterelpaddle/tests/forwarding/test_placement.py
@@ -100,7 +100,7 @@
             placer=placer,
         )
         entries = tuple(self.entry(name) for name in self.endpoints)
-        view.take_endpoints(
+        view.apply_endpoints_update(
             read=EndpointsUpdate(
                 revision=Revision(1), entries=entries, is_snapshot=True
             )
--- a/dotterelpaddle/tests/owners/fleet.py
+++ b/dotterelpaddle/tests/owners/fleet.py
@@ -345,10 +345,10 @@
         parts = router.parts
         await anyio.sleep(self.dice.uniform(*NEWS_TIME))
         if parts is not None:
-            parts.knowledge.view.take_endpoints(read=read)
+            parts.knowledge.view.apply_endpoints_update(read=read)
 
     def _tell_all(self, parts: Parts) -> None:
-        parts.knowledge.view.take_endpoints(
+        parts.knowledge.view.apply_endpoints_update(
             read=EndpointsUpdate(
                 revision=Revision(self.revision),
                 entries=tuple(each.entry for each in self.endpoints.values()),
--- a/dotterelpaddle/tests/owners/world.py
+++ b/dotterelpaddle/tests/owners/world.py
@@ -61,7 +61,7 @@
                 for name in self.others
             ),
         )
-        self.view.take_endpoints(
+        self.view.apply_endpoints_update(
             read=EndpointsUpdate(
                 revision=Revision(1), entries=entries, is_snapshot=True
             )
--- a/dotterelpaddle/tests/peers/test_snapshot.py
+++ b/dotterelpaddle/tests/peers/test_snapshot.py
@@ -38,7 +38,7 @@
     entry = DOCUMENTS.endpoint(
         name=EndpointName("a"), document=orjson.dumps(row), revision=Revision(4)
     )
-    view.take_endpoints(
+    view.apply_endpoints_update(
         read=EndpointsUpdate(revision=Revision(5), entries=(entry,), is_snapshot=True)
     )
     return view
--- a/dotterelpaddle/tests/peers/test_word.py
+++ b/dotterelpaddle/tests/peers/test_word.py
@@ -24,7 +24,7 @@
 def _view(*, revision: int, state: EndpointState = EndpointState.READY) -> FleetView:
     view = FleetView(clock=lambda: 0.0)
     entries = (make_entry("a", revision=Revision(revision), state=state),)
-    view.take_endpoints(
+    view.apply_endpoints_update(
         read=EndpointsUpdate(
             revision=Revision(revision), entries=entries, is_snapshot=True
         )
