--- a/dotterelpaddle/forwarding/follower.py
+++ b/dotterelpaddle/forwarding/follower.py
@@ -248,7 +248,7 @@
     async def _keep_looking(self) -> None:
         while True:
             await anyio.sleep(self._look_pause)
-            self._view.expire()
+            self._view.expire_holds()
             others = min(self._word.configuration_age, self._word.endpoints_age)
             self._note_heard(at=self._clock() - others)
             if self._must_look_itself and self._long_call is not None:
--- a/dotterelpaddle/forwarding/view.py
+++ b/dotterelpaddle/forwarding/view.py
@@ -290,7 +290,7 @@
             self._changes_from = max(self._changes_from, forgotten)
         return changed
 
-    def expire(self) -> None:
+    def expire_holds(self) -> None:
         """Drop endpoints that were held for the time after the platform's return."""
         if self._removed.expire():
             self._index()
--- a/dotterelpaddle/tests/forwarding/test_view.py
+++ b/dotterelpaddle/tests/forwarding/test_view.py
@@ -134,7 +134,7 @@
     @rule(seconds=st.floats(0.1, 30.0))
     def pass_time(self, seconds: float) -> None:
         self.now += seconds
-        self.view.expire()
+        self.view.expire_holds()
 
     @invariant()
     def versions_only_grow(self) -> None:
@@ -185,7 +185,7 @@
 
     held = view.ready(service=SERVICE)
     now += RETURN_TIME + 0.1
-    view.expire()
+    view.expire_holds()
 
     assert held == (entry,)
     assert view.ready(service=SERVICE) == ()
