--- a/dotterelpaddle/forwarding/follower.py
+++ b/dotterelpaddle/forwarding/follower.py
@@ -25,7 +25,7 @@
 
 log = get_logger(name=__name__)
 
-CONFIGURATION_WAIT = 1.5
+CONFIGURATION_WAIT_SECONDS = 1.5
 """Seconds that one call waits for a configuration.
 
 A call that went silent is noticed a second after this, which together with a
@@ -176,7 +176,7 @@
             read = await self._source.configuration()
         elif self._must_look_itself:
             read = await self._source.configuration_after(
-                after=after, wait=CONFIGURATION_WAIT
+                after=after, wait=CONFIGURATION_WAIT_SECONDS
             )
         elif self._word.receives_configurations:
             await self._until_on_its_own()
--- a/dotterelpaddle/tests/forwarding/test_follower.py
+++ b/dotterelpaddle/tests/forwarding/test_follower.py
@@ -155,7 +155,7 @@
         await until(lambda: source.endpoint_calls > 2)
         await until(lambda: source.waits)
 
-    assert source.waits[0] == following.CONFIGURATION_WAIT
+    assert source.waits[0] == following.CONFIGURATION_WAIT_SECONDS
 
 
 async def test_configuration_that_others_vouch_for_is_waited_for_long() -> None:
@@ -176,7 +176,10 @@
         word.configuration_age = float("inf")
         await until(lambda: len(source.waits) > 1)
 
-    assert source.waits == [following.VOUCHED_WAIT, following.CONFIGURATION_WAIT]
+    assert source.waits == [
+        following.VOUCHED_WAIT,
+        following.CONFIGURATION_WAIT_SECONDS,
+    ]
 
 
 async def test_platform_that_others_hear_was_not_away() -> None:
