--- a/dotterelpaddle/forwarding/follower.py
+++ b/dotterelpaddle/forwarding/follower.py
@@ -33,7 +33,7 @@
 force plus the three that count as undisturbed before.
 """
 
-VOUCHED_WAIT = 20.0
+CONFIRMED_WAIT_SECONDS = 20.0
 """The same while another router vouches for the version: an answer still comes at
 once, and one that went silent shows by what the other routers say."""
 
@@ -211,7 +211,7 @@
             self._long_call = scope
             try:
                 return await self._source.configuration_after(
-                    after=after, wait=VOUCHED_WAIT
+                    after=after, wait=CONFIRMED_WAIT_SECONDS
                 )
             finally:
                 self._long_call = None
--- a/dotterelpaddle/tests/forwarding/test_follower.py
+++ b/dotterelpaddle/tests/forwarding/test_follower.py
@@ -163,7 +163,7 @@
     async with _follow(word, source):
         await until(lambda: source.waits)
 
-    assert source.waits == [following.VOUCHED_WAIT]
+    assert source.waits == [following.CONFIRMED_WAIT_SECONDS]
 
 
 async def test_long_call_ends_when_nobody_vouches_any_more(
@@ -177,7 +177,7 @@
         await until(lambda: len(source.waits) > 1)
 
     assert source.waits == [
-        following.VOUCHED_WAIT,
+        following.CONFIRMED_WAIT_SECONDS,
         following.CONFIGURATION_WAIT_SECONDS,
     ]
 
