--- a/dotterelpaddle/forwarding/follower.py
+++ b/dotterelpaddle/forwarding/follower.py
@@ -37,7 +37,7 @@
 """The same while another router vouches for the version: an answer still comes at
 once, and one that went silent shows by what the other routers say."""
 
-CONFIGURATION_TRUST = 3.0
+MAX_CONFIGURATION_AGE_SECONDS = 3.0
 """Seconds since the word of the platform for which a version is relied on: one call
 and its time to answer, and a report on its way."""
 
@@ -69,7 +69,7 @@
 """Seconds in which nobody heard from the source, and calls failed, after which it
 was away: no entry lapses in less."""
 
-AWAY_SURELY_AFTER = CONFIGURATION_TRUST
+AWAY_SURELY_AFTER = MAX_CONFIGURATION_AGE_SECONDS
 """The same where no call has failed yet: a call that goes silent takes as long."""
 
 RETRY_PAUSE = 0.1
@@ -198,7 +198,7 @@
     def _must_look_itself(self) -> bool:
         """Whether no one else's word on the configuration is to be relied on."""
         age = min(self.configuration_age, self._word.configuration_age)
-        return self._word.is_platform_reader or age >= CONFIGURATION_TRUST
+        return self._word.is_platform_reader or age >= MAX_CONFIGURATION_AGE_SECONDS
 
     async def _until_on_its_own(self) -> None:
         """Wait while others pass on each new configuration, and vouch for it."""
