--- a/dotterelpaddle/forwarding/follower.py
+++ b/dotterelpaddle/forwarding/follower.py
@@ -41,7 +41,7 @@
 """Seconds since the word of the platform for which a version is relied on: one call
 and its time to answer, and a report on its way."""
 
-ENDPOINTS_WAIT = 0.4
+ENDPOINTS_WAIT_SECONDS = 0.4
 """Seconds that one call waits for changes of endpoints; a change ends it at once."""
 
 ENDPOINTS_PAUSE = 0.6
@@ -224,7 +224,9 @@
             await self._until_due()
             # Others may have passed on what came since the last call.
             after = max(after, self._view.endpoints_revision or after)
-            read = await self._source.endpoints_after(after=after, wait=ENDPOINTS_WAIT)
+            read = await self._source.endpoints_after(
+                after=after, wait=ENDPOINTS_WAIT_SECONDS
+            )
         self._endpoints_at = self._note_answer()
         self._view.apply_endpoints_update(read=read)
         return read.revision
