--- a/dotterelpaddle/forwarding/follower.py
+++ b/dotterelpaddle/forwarding/follower.py
@@ -44,7 +44,7 @@
 ENDPOINTS_WAIT_SECONDS = 0.4
 """Seconds that one call waits for changes of endpoints; a change ends it at once."""
 
-ENDPOINTS_PAUSE = 0.6
+ENDPOINTS_INTERVAL_SECONDS = 0.6
 """Seconds between calls for endpoints by the one that reads for all.
 
 Without it each heartbeat of each endpoint would end a call. Leaving must be known
@@ -234,7 +234,7 @@
     async def _until_due(self) -> None:
         """Wait until this router has to ask for endpoints itself."""
         jitter = self._generator.uniform(0.8, 1.2)
-        due_at = self._clock() + ENDPOINTS_PAUSE * jitter
+        due_at = self._clock() + ENDPOINTS_INTERVAL_SECONDS * jitter
         await anyio.sleep(LEAST_PAUSE * jitter)
         while self._word.receives_endpoints or not self._word.endpoints_behind:
             age = min(self.endpoints_age, self._word.endpoints_age)
