--- a/dotterelpaddle/forwarding/follower.py
+++ b/dotterelpaddle/forwarding/follower.py
@@ -51,7 +51,7 @@
 within two seconds; a report and a call of each router's own come after this.
 """
 
-LEAST_PAUSE = 0.2
+MIN_ENDPOINTS_INTERVAL_SECONDS = 0.2
 """Seconds between calls for endpoints by a router that others are ahead of."""
 
 ENDPOINTS_TRUST = 0.7
@@ -235,7 +235,7 @@
         """Wait until this router has to ask for endpoints itself."""
         jitter = self._generator.uniform(0.8, 1.2)
         due_at = self._clock() + ENDPOINTS_INTERVAL_SECONDS * jitter
-        await anyio.sleep(LEAST_PAUSE * jitter)
+        await anyio.sleep(MIN_ENDPOINTS_INTERVAL_SECONDS * jitter)
         while self._word.receives_endpoints or not self._word.endpoints_behind:
             age = min(self.endpoints_age, self._word.endpoints_age)
             due = self._word.is_platform_reader or age >= self._endpoints_trust
