--- a/dotterelpaddle/forwarding/follower.py
+++ b/dotterelpaddle/forwarding/follower.py
@@ -54,7 +54,7 @@
 MIN_ENDPOINTS_INTERVAL_SECONDS = 0.2
 """Seconds between calls for endpoints by a router that others are ahead of."""
 
-ENDPOINTS_TRUST = 0.7
+MAX_ENDPOINTS_AGE_SHARE = 0.7
 """Share of the time in which a leaving endpoint must be known for which the word of
 the platform is relied on: of two seconds a pause, a call and a report, which leaves
 time for a call of one's own."""
@@ -110,7 +110,7 @@
         self._view = view
         self._word = word
         self._metrics = metrics
-        self._endpoints_trust = ENDPOINTS_TRUST * leaving_time
+        self._endpoints_trust = MAX_ENDPOINTS_AGE_SHARE * leaving_time
         self._clock = clock
         self._generator = generator
         self._configuration_at = float("-inf")
