--- a/dotterelpaddle/forwarding/follower.py
+++ b/dotterelpaddle/forwarding/follower.py
@@ -59,7 +59,7 @@
 the platform is relied on: of two seconds a pause, a call and a report, which leaves
 time for a call of one's own."""
 
-LOOK_PAUSE = 0.1
+PEER_CHECK_INTERVAL_SECONDS = 0.1
 """Seconds between looks at what other routers vouch for."""
 
 PASSED_ON_PAUSE = 0.3
@@ -245,7 +245,11 @@
 
     @property
     def _look_pause(self) -> float:
-        return PASSED_ON_PAUSE if self._word.receives_configurations else LOOK_PAUSE
+        return (
+            PASSED_ON_PAUSE
+            if self._word.receives_configurations
+            else PEER_CHECK_INTERVAL_SECONDS
+        )
 
     async def _keep_looking(self) -> None:
         while True:
