--- a/dotterelpaddle/forwarding/follower.py
+++ b/dotterelpaddle/forwarding/follower.py
@@ -62,7 +62,7 @@
 PEER_CHECK_INTERVAL_SECONDS = 0.1
 """Seconds between looks at what other routers vouch for."""
 
-PASSED_ON_PAUSE = 0.3
+GOSSIP_CHECK_INTERVAL_SECONDS = 0.3
 """The same where others pass all news on, which come in by themselves."""
 
 AWAY_AFTER = 1.0
@@ -203,7 +203,7 @@
     async def _until_on_its_own(self) -> None:
         """Wait while others pass on each new configuration, and vouch for it."""
         while self._word.receives_configurations and not self._must_look_itself:
-            await anyio.sleep(PASSED_ON_PAUSE)
+            await anyio.sleep(GOSSIP_CHECK_INTERVAL_SECONDS)
 
     async def _wait_long(self, *, after: Revision) -> OperatorUpdate | None:
         """Wait for a change; None if nobody vouches for the version any more."""
@@ -246,7 +246,7 @@
     @property
     def _look_pause(self) -> float:
         return (
-            PASSED_ON_PAUSE
+            GOSSIP_CHECK_INTERVAL_SECONDS
             if self._word.receives_configurations
             else PEER_CHECK_INTERVAL_SECONDS
         )
