--- a/dotterelpaddle/forwarding/follower.py
+++ b/dotterelpaddle/forwarding/follower.py
@@ -65,7 +65,7 @@
 GOSSIP_CHECK_INTERVAL_SECONDS = 0.3
 """The same where others pass all news on, which come in by themselves."""
 
-AWAY_AFTER = 1.0
+OUTAGE_AFTER_FAILURE_SECONDS = 1.0
 """Seconds in which nobody heard from the source, and calls failed, after which it
 was away: no entry lapses in less."""
 
@@ -272,7 +272,11 @@
         if at <= self._heard_at:
             return
         silent_for = at - self._heard_at
-        away = AWAY_AFTER if self._failed_since_heard else AWAY_SURELY_AFTER
+        away = (
+            OUTAGE_AFTER_FAILURE_SECONDS
+            if self._failed_since_heard
+            else AWAY_SURELY_AFTER
+        )
         if away < silent_for < float("inf"):
             log.info("platform_regained", silent_for=round(silent_for, 3))
             self._view.note_platform_recovery()
--- a/dotterelpaddle/tests/forwarding/test_follower.py
+++ b/dotterelpaddle/tests/forwarding/test_follower.py
@@ -189,8 +189,8 @@
     async with _follow(word, source, view, clock=lambda: now):
         await until(lambda: source.endpoint_calls > 0)
         # Calls fail for long, but somebody hears of it between any two looks.
-        while now < 4 * following.AWAY_AFTER:
-            now += following.AWAY_AFTER / 4
+        while now < 4 * following.OUTAGE_AFTER_FAILURE_SECONDS:
+            now += following.OUTAGE_AFTER_FAILURE_SECONDS / 4
             told = word.ages_told
             await until(lambda told=told: word.ages_told > told + 1)
         source.failing = False
