--- a/dotterelpaddle/forwarding/follower.py
+++ b/dotterelpaddle/forwarding/follower.py
@@ -69,7 +69,7 @@
 """Seconds in which nobody heard from the source, and calls failed, after which it
 was away: no entry lapses in less."""
 
-AWAY_SURELY_AFTER = MAX_CONFIGURATION_AGE_SECONDS
+OUTAGE_SECONDS = MAX_CONFIGURATION_AGE_SECONDS
 """The same where no call has failed yet: a call that goes silent takes as long."""
 
 RETRY_PAUSE = 0.1
@@ -273,9 +273,7 @@
             return
         silent_for = at - self._heard_at
         away = (
-            OUTAGE_AFTER_FAILURE_SECONDS
-            if self._failed_since_heard
-            else AWAY_SURELY_AFTER
+            OUTAGE_AFTER_FAILURE_SECONDS if self._failed_since_heard else OUTAGE_SECONDS
         )
         if away < silent_for < float("inf"):
             log.info("platform_regained", silent_for=round(silent_for, 3))
