--- a/dotterelpaddle/forwarding/follower.py
+++ b/dotterelpaddle/forwarding/follower.py
@@ -72,7 +72,7 @@
 OUTAGE_SECONDS = MAX_CONFIGURATION_AGE_SECONDS
 """The same where no call has failed yet: a call that goes silent takes as long."""
 
-RETRY_PAUSE = 0.1
+MIN_RETRY_DELAY_SECONDS = 0.1
 """Seconds before a failed call is tried again; doubles up to the next one."""
 
 LONGEST_RETRY_PAUSE = 0.5
@@ -154,11 +154,11 @@
     ) -> None:
         """Read again and again, from where the last read ended."""
         after: Revision | None = None
-        pause = RETRY_PAUSE
+        pause = MIN_RETRY_DELAY_SECONDS
         while True:
             try:
                 after = await read(after)
-                pause = RETRY_PAUSE
+                pause = MIN_RETRY_DELAY_SECONDS
                 if after is not None:
                     self._metrics.called(what=what, result="ok")
             except HistoryLost as error:
@@ -191,7 +191,7 @@
         self._view.apply_operator_update(read=read)
         if after is None and read.configuration is None:
             # Nothing is configured yet; the first version comes any moment.
-            await anyio.sleep(RETRY_PAUSE)
+            await anyio.sleep(MIN_RETRY_DELAY_SECONDS)
         return read.revision
 
     @property
