--- a/dotterelpaddle/forwarding/follower.py
+++ b/dotterelpaddle/forwarding/follower.py
@@ -75,7 +75,7 @@
 MIN_RETRY_DELAY_SECONDS = 0.1
 """Seconds before a failed call is tried again; doubles up to the next one."""
 
-LONGEST_RETRY_PAUSE = 0.5
+MAX_RETRY_DELAY_SECONDS = 0.5
 """Seconds before a failed call is tried again, at most.
 
 Low enough that a platform that is back is noticed well within its two seconds.
@@ -169,7 +169,7 @@
                 self._metrics.called(what=what, result="failed")
                 self._note_failure(what=what, error=error)
                 await anyio.sleep(pause * self._generator.uniform(0.7, 1.3))
-                pause = min(2 * pause, LONGEST_RETRY_PAUSE)
+                pause = min(2 * pause, MAX_RETRY_DELAY_SECONDS)
 
     async def _read_configuration(self, after: Revision | None) -> Revision | None:
         if after is None:
