--- a/dotterelpaddle/forwarding/settings.py
+++ b/dotterelpaddle/forwarding/settings.py
@@ -16,7 +16,7 @@
     from pathlib import Path
 
 
-MILLISECONDS = 1000.0
+MS_PER_SECOND = 1000.0
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
@@ -114,7 +114,7 @@
         shutdown=top.number("shutdown_seconds", minimum=1.0),
         repeats=_repeats(top.section("repeats")),
         leaving_time=top.number("leaving_ms", minimum=100.0, default=2000.0)
-        / MILLISECONDS,
+        / MS_PER_SECOND,
         link=round(peers.number("link_mbps", default=0.0)),
         metrics=listen.address("metrics") if listen.has("metrics") else None,
         first=top.flag("first_start", default=False),
