--- a/dotterelpaddle/forwarding/parts.py
+++ b/dotterelpaddle/forwarding/parts.py
@@ -340,7 +340,7 @@
             router=settings.router,
             failure_domain=settings.failure_domain,
             address=settings.peers,
-            link=settings.link,
+            link=settings.link_mbps,
         ),
         seeds=settings.seeds,
         clock=clock,
--- a/dotterelpaddle/forwarding/settings.py
+++ b/dotterelpaddle/forwarding/settings.py
@@ -43,7 +43,7 @@
         readiness: Where the balancer asks whether it is ready.
         control: Where other routers fetch what it knows.
         peers: Where it exchanges datagrams with other routers.
-        link: Bandwidth of its host's link, Mbit/s; those with the best links aggregate
+        link_mbps: Bandwidth of its host's link, Mbit/s; those with the best links aggregate
             for the others of a large fleet.
         metrics: Where metrics are served besides the control address, None for nowhere.
         seeds: Where some routers exchange datagrams; they may be out of date.
@@ -68,7 +68,7 @@
     store: Address
     shutdown: float
     repeats: RepeatLimits
-    link: int = 0
+    link_mbps: int = 0
     leaving_time: float = 2.0
     metrics: Address | None = None
     first: bool = False
@@ -115,7 +115,7 @@
         repeats=_repeats(top.section("repeats")),
         leaving_time=top.number("leaving_ms", minimum=100.0, default=2000.0)
         / MS_PER_SECOND,
-        link=round(peers.number("link_mbps", default=0.0)),
+        link_mbps=round(peers.number("link_mbps", default=0.0)),
         metrics=listen.address("metrics") if listen.has("metrics") else None,
         first=top.flag("first_start", default=False),
         cold=_cold(top.section("cold")) if top.has("cold") else None,
--- a/dotterelpaddle/tests/owners/hosts.py
+++ b/dotterelpaddle/tests/owners/hosts.py
@@ -136,7 +136,7 @@
             store=address,
             shutdown=8.0,
             repeats=RepeatLimits(share=0.2, allowance=50.0, window=10.0),
-            link=link,
+            link_mbps=link,
             leave_time=leave_time,
         ),
         surroundings=Surroundings(
