--- a/dotterelpaddle/forwarding/router.py
+++ b/dotterelpaddle/forwarding/router.py
@@ -71,7 +71,7 @@
     """
     parts = build_parts(settings=settings, surroundings=surroundings)
     app, knowledge = parts.app, parts.knowledge
-    grace = settings.shutdown - settings.leave_time - STOP_MARGIN
+    grace = settings.shutdown_timeout - settings.leave_time - STOP_MARGIN
     async with (
         open_datagrams(address=settings.peers, links=surroundings.links) as datagrams,
         anyio.create_task_group() as tasks,
--- a/dotterelpaddle/forwarding/settings.py
+++ b/dotterelpaddle/forwarding/settings.py
@@ -48,7 +48,7 @@
         metrics: Where metrics are served besides the control address, None for nowhere.
         seeds: Where some routers exchange datagrams; they may be out of date.
         store: Where the platform's store listens.
-        shutdown: Seconds from the signal to stop until the process is killed.
+        shutdown_timeout: Seconds from the signal to stop until the process is killed.
         repeats: What repeats over all routers may cost.
         leaving_time: Seconds in which a leaving endpoint must be known.
         first: Whether the whole fleet starts for the first time.
@@ -66,7 +66,7 @@
     peers: Address
     seeds: tuple[Address, ...]
     store: Address
-    shutdown: float
+    shutdown_timeout: float
     repeats: RepeatLimits
     link_mbps: int = 0
     leaving_time: float = 2.0
@@ -111,7 +111,7 @@
         peers=own,
         seeds=seeds,
         store=top.address("store"),
-        shutdown=top.number("shutdown_seconds", minimum=1.0),
+        shutdown_timeout=top.number("shutdown_seconds", minimum=1.0),
         repeats=_repeats(top.section("repeats")),
         leaving_time=top.number("leaving_ms", minimum=100.0, default=2000.0)
         / MS_PER_SECOND,
--- a/dotterelpaddle/tests/owners/hosts.py
+++ b/dotterelpaddle/tests/owners/hosts.py
@@ -134,7 +134,7 @@
             peers=address,
             seeds=SEED_ADDRESSES,
             store=address,
-            shutdown=8.0,
+            shutdown_timeout=8.0,
             repeats=RepeatLimits(share=0.2, allowance=50.0, window=10.0),
             link_mbps=link,
             leave_time=leave_time,
