--- a/dotterelpaddle/forwarding/parts.py
+++ b/dotterelpaddle/forwarding/parts.py
@@ -367,7 +367,7 @@
         caches=caches,
         crashes=CrashBook(clock=clock),
         repeats=SharedRepeats(
-            limits=settings.repeats,
+            limits=settings.retry_limits,
             shares=shares,
             routers=lambda: directory.count,
             clock=clock,
--- a/dotterelpaddle/forwarding/settings.py
+++ b/dotterelpaddle/forwarding/settings.py
@@ -49,7 +49,7 @@
         seeds: Where some routers exchange datagrams; they may be out of date.
         store: Where the platform's store listens.
         shutdown_timeout: Seconds from the signal to stop until the process is killed.
-        repeats: What repeats over all routers may cost.
+        retry_limits: What repeats over all routers may cost.
         leaving_time: Seconds in which a leaving endpoint must be known.
         first: Whether the whole fleet starts for the first time.
         cold: What cold endpoints may get, None without a bound.
@@ -67,7 +67,7 @@
     seeds: tuple[Address, ...]
     store: Address
     shutdown_timeout: float
-    repeats: RepeatLimits
+    retry_limits: RepeatLimits
     link_mbps: int = 0
     leaving_time: float = 2.0
     metrics: Address | None = None
@@ -112,7 +112,7 @@
         seeds=seeds,
         store=top.address("store"),
         shutdown_timeout=top.number("shutdown_seconds", minimum=1.0),
-        repeats=_repeats(top.section("repeats")),
+        retry_limits=_repeats(top.section("repeats")),
         leaving_time=top.number("leaving_ms", minimum=100.0, default=2000.0)
         / MS_PER_SECOND,
         link_mbps=round(peers.number("link_mbps", default=0.0)),
--- a/dotterelpaddle/tests/forwarding/test_settings.py
+++ b/dotterelpaddle/tests/forwarding/test_settings.py
@@ -60,7 +60,7 @@
     assert settings.router == "router-1"
     assert settings.first
     assert str(settings.seeds[0]) == "10.0.0.2:83"
-    assert settings.repeats.allowance == 52
+    assert settings.retry_limits.allowance == 52
     assert settings.link_mbps == 100
     assert settings.leaving_time == 3.0
     assert settings.regions == {"here": "west", "there": "east"}
--- a/dotterelpaddle/tests/owners/hosts.py
+++ b/dotterelpaddle/tests/owners/hosts.py
@@ -135,7 +135,7 @@
             seeds=SEED_ADDRESSES,
             store=address,
             shutdown_timeout=8.0,
-            repeats=RepeatLimits(share=0.2, allowance=50.0, window=10.0),
+            retry_limits=RepeatLimits(share=0.2, allowance=50.0, window=10.0),
             link_mbps=link,
             leave_time=leave_time,
         ),
