--- a/dotterelpaddle/forwarding/parts.py
+++ b/dotterelpaddle/forwarding/parts.py
@@ -180,7 +180,7 @@
         view=knowledge.view,
         word=word,
         metrics=metrics,
-        leaving_time=settings.leaving_time,
+        leaving_time=settings.leaving_propagation_time,
         clock=clock,
         generator=generator,
     )
@@ -348,7 +348,9 @@
     shares = ShareBook(failure_domain=settings.failure_domain, clock=clock)
     view = FleetView(
         clock=clock,
-        leaving=LeavingEndpoints(clock=clock, serve_time=settings.leaving_time),
+        leaving=LeavingEndpoints(
+            clock=clock, serve_time=settings.leaving_propagation_time
+        ),
     )
     return Knowledge(
         view=view,
--- a/dotterelpaddle/forwarding/settings.py
+++ b/dotterelpaddle/forwarding/settings.py
@@ -50,7 +50,7 @@
         store: Where the platform's store listens.
         shutdown_timeout: Seconds from the signal to stop until the process is killed.
         retry_limits: What repeats over all routers may cost.
-        leaving_time: Seconds in which a leaving endpoint must be known.
+        leaving_propagation_time: Seconds in which a leaving endpoint must be known.
         first: Whether the whole fleet starts for the first time.
         cold: What cold endpoints may get, None without a bound.
         regions: The region of each failure domain.
@@ -69,7 +69,7 @@
     shutdown_timeout: float
     retry_limits: RepeatLimits
     link_mbps: int = 0
-    leaving_time: float = 2.0
+    leaving_propagation_time: float = 2.0
     metrics: Address | None = None
     first: bool = False
     cold: ColdBounds | None = None
@@ -113,7 +113,7 @@
         store=top.address("store"),
         shutdown_timeout=top.number("shutdown_seconds", minimum=1.0),
         retry_limits=_repeats(top.section("repeats")),
-        leaving_time=top.number("leaving_ms", minimum=100.0, default=2000.0)
+        leaving_propagation_time=top.number("leaving_ms", minimum=100.0, default=2000.0)
         / MS_PER_SECOND,
         link_mbps=round(peers.number("link_mbps", default=0.0)),
         metrics=listen.address("metrics") if listen.has("metrics") else None,
--- a/dotterelpaddle/tests/forwarding/test_settings.py
+++ b/dotterelpaddle/tests/forwarding/test_settings.py
@@ -62,7 +62,7 @@
     assert str(settings.seeds[0]) == "10.0.0.2:83"
     assert settings.retry_limits.allowance == 52
     assert settings.link_mbps == 100
-    assert settings.leaving_time == 3.0
+    assert settings.leaving_propagation_time == 3.0
     assert settings.regions == {"here": "west", "there": "east"}
     assert settings.cold == ColdBounds(multiple=1.5, allowance=5.0)
     assert str(settings.metrics) == "10.0.0.1:84"
