--- a/dotterelpaddle/forwarding/router.py
+++ b/dotterelpaddle/forwarding/router.py
@@ -71,7 +71,7 @@
     """
     parts = build_parts(settings=settings, surroundings=surroundings)
     app, knowledge = parts.app, parts.knowledge
-    grace = settings.shutdown_timeout - settings.leave_time - STOP_MARGIN
+    grace = settings.shutdown_timeout - settings.drain_time - STOP_MARGIN
     async with (
         open_datagrams(address=settings.peers, links=surroundings.links) as datagrams,
         anyio.create_task_group() as tasks,
@@ -115,7 +115,7 @@
         )
         log.info("router_stopping", in_flight=app.in_flight)
         parts.announce_leaving()
-        await anyio.sleep(settings.leave_time)
+        await anyio.sleep(settings.drain_time)
         # Callers' server ends first: it takes no new connection, closes idle ones,
         # and waits for the requests that it has.
         await stack.aclose()
--- a/dotterelpaddle/forwarding/settings.py
+++ b/dotterelpaddle/forwarding/settings.py
@@ -54,7 +54,7 @@
         first: Whether the whole fleet starts for the first time.
         cold: What cold endpoints may get, None without a bound.
         regions: The region of each failure domain.
-        leave_time: Seconds that a stopping router still takes requests, until the
+        drain_time: Seconds that a stopping router still takes requests, until the
             balancer has noticed; it asks once a second and needs two misses.
     """
 
@@ -74,7 +74,7 @@
     first: bool = False
     cold: ColdBounds | None = None
     regions: Mapping[FailureDomain, Region] = field(default_factory=dict)
-    leave_time: float = 2.6
+    drain_time: float = 2.6
 
 
 def load_settings(*, path: Path) -> ForwardSettings:
--- a/dotterelpaddle/tests/owners/hosts.py
+++ b/dotterelpaddle/tests/owners/hosts.py
@@ -137,7 +137,7 @@
             shutdown_timeout=8.0,
             retry_limits=RepeatLimits(share=0.2, allowance=50.0, window=10.0),
             link_mbps=link,
-            leave_time=leave_time,
+            drain_time=leave_time,
         ),
         surroundings=Surroundings(
             source=unused,
