--- a/dotterelpaddle/forwarding/parts.py
+++ b/dotterelpaddle/forwarding/parts.py
@@ -332,7 +332,7 @@
 
 def _knowledge(*, settings: ForwardSettings, clock: Clock) -> Knowledge:
     caches = CacheMap(clock=clock)
-    if settings.first:
+    if settings.first_start:
         # The whole fleet starts for the first time: no endpoint has cached anything.
         caches.mark_known()
     directory = PeerDirectory(
--- a/dotterelpaddle/forwarding/settings.py
+++ b/dotterelpaddle/forwarding/settings.py
@@ -51,7 +51,7 @@
         shutdown_timeout: Seconds from the signal to stop until the process is killed.
         retry_limits: What repeats over all routers may cost.
         leaving_propagation_time: Seconds in which a leaving endpoint must be known.
-        first: Whether the whole fleet starts for the first time.
+        first_start: Whether the whole fleet starts for the first time.
         cold: What cold endpoints may get, None without a bound.
         regions: The region of each failure domain.
         drain_time: Seconds that a stopping router still takes requests, until the
@@ -71,7 +71,7 @@
     link_mbps: int = 0
     leaving_propagation_time: float = 2.0
     metrics: Address | None = None
-    first: bool = False
+    first_start: bool = False
     cold: ColdBounds | None = None
     regions: Mapping[FailureDomain, Region] = field(default_factory=dict)
     drain_time: float = 2.6
@@ -117,7 +117,7 @@
         / MS_PER_SECOND,
         link_mbps=round(peers.number("link_mbps", default=0.0)),
         metrics=listen.address("metrics") if listen.has("metrics") else None,
-        first=top.flag("first_start", default=False),
+        first_start=top.flag("first_start", default=False),
         cold=_cold(top.section("cold")) if top.has("cold") else None,
         regions=_regions(top.section("regions")) if top.has("regions") else {},
     )
--- a/dotterelpaddle/tests/forwarding/test_settings.py
+++ b/dotterelpaddle/tests/forwarding/test_settings.py
@@ -58,7 +58,7 @@
     settings = load_settings(path=_write(tmp_path, orjson.dumps(RIGHT)))
 
     assert settings.router == "router-1"
-    assert settings.first
+    assert settings.first_start
     assert str(settings.seeds[0]) == "10.0.0.2:83"
     assert settings.retry_limits.allowance == 52
     assert settings.link_mbps == 100
