--- a/dotterelpaddle/forwarding/parts.py
+++ b/dotterelpaddle/forwarding/parts.py
@@ -361,7 +361,7 @@
         quiet=QuietEndpoints(clock=clock),
         cold=ColdEndpoints(
             router=settings.router,
-            bounds=settings.cold,
+            bounds=settings.cold_bounds,
             view=view,
             routers=lambda: max(directory.count, shares.routers),
             clock=clock,
--- a/dotterelpaddle/forwarding/settings.py
+++ b/dotterelpaddle/forwarding/settings.py
@@ -52,7 +52,7 @@
         retry_limits: What repeats over all routers may cost.
         leaving_propagation_time: Seconds in which a leaving endpoint must be known.
         first_start: Whether the whole fleet starts for the first time.
-        cold: What cold endpoints may get, None without a bound.
+        cold_bounds: What cold endpoints may get, None without a bound.
         regions: The region of each failure domain.
         drain_time: Seconds that a stopping router still takes requests, until the
             balancer has noticed; it asks once a second and needs two misses.
@@ -72,7 +72,7 @@
     leaving_propagation_time: float = 2.0
     metrics: Address | None = None
     first_start: bool = False
-    cold: ColdBounds | None = None
+    cold_bounds: ColdBounds | None = None
     regions: Mapping[FailureDomain, Region] = field(default_factory=dict)
     drain_time: float = 2.6
 
@@ -118,7 +118,7 @@
         link_mbps=round(peers.number("link_mbps", default=0.0)),
         metrics=listen.address("metrics") if listen.has("metrics") else None,
         first_start=top.flag("first_start", default=False),
-        cold=_cold(top.section("cold")) if top.has("cold") else None,
+        cold_bounds=_cold(top.section("cold")) if top.has("cold") else None,
         regions=_regions(top.section("regions")) if top.has("regions") else {},
     )
     for section in (listen, peers, top):
--- a/dotterelpaddle/tests/forwarding/test_settings.py
+++ b/dotterelpaddle/tests/forwarding/test_settings.py
@@ -64,7 +64,7 @@
     assert settings.link_mbps == 100
     assert settings.leaving_propagation_time == 3.0
     assert settings.regions == {"here": "west", "there": "east"}
-    assert settings.cold == ColdBounds(multiple=1.5, allowance=5.0)
+    assert settings.cold_bounds == ColdBounds(multiple=1.5, allowance=5.0)
     assert str(settings.metrics) == "10.0.0.1:84"
 
 
@@ -73,7 +73,7 @@
 
     assert settings.failure_domain == "here"
     assert settings.seeds == ()
-    assert settings.cold is None
+    assert settings.cold_bounds is None
 
 
 @pytest.mark.parametrize(
