--- a/dotterelpaddle/forwarding/evacuations.py
+++ b/dotterelpaddle/forwarding/evacuations.py
@@ -23,7 +23,7 @@
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
-class EvacuatedDomains:
+class EvacuationSnapshot:
     """All failure domains that are evacuated at some moment.
 
     Attributes:
@@ -69,11 +69,11 @@
         return self._domains
 
     @property
-    def known(self) -> EvacuatedDomains | None:
+    def known(self) -> EvacuationSnapshot | None:
         """What to tell other routers, None before anything was heard."""
         if self._revision is None:
             return None
-        return EvacuatedDomains(revision=self._revision, domains=self._domains)
+        return EvacuationSnapshot(revision=self._revision, domains=self._domains)
 
     @property
     def last_ended_at(self) -> float:
@@ -92,7 +92,7 @@
             each for each in entries if each.failure_domain not in self._domains
         )
 
-    def take(self, *, told: EvacuatedDomains) -> None:
+    def take(self, *, told: EvacuationSnapshot) -> None:
         """Take in all domains that are evacuated as of some revision."""
         if self._revision is None or told.revision > self._revision:
             self._set(revision=told.revision, domains=told.domains)
--- a/dotterelpaddle/forwarding/view.py
+++ b/dotterelpaddle/forwarding/view.py
@@ -12,7 +12,7 @@
 import anyio
 
 from dotterelpaddle.forwarding.entry_tags import entries_tag, same_but_revision
-from dotterelpaddle.forwarding.evacuations import EvacuatedDomains, Evacuations
+from dotterelpaddle.forwarding.evacuations import Evacuations, EvacuationSnapshot
 from dotterelpaddle.forwarding.interface import EndpointsUpdate
 from dotterelpaddle.forwarding.leaving import LeavingEndpoints
 from dotterelpaddle.forwarding.model import (
@@ -232,7 +232,7 @@
             told = frozenset(each.failure_domain for each in read.evacuations)
             kept = self._evacuations.domains & read.undecodable
             self._evacuations.take(
-                told=EvacuatedDomains(revision=read.revision, domains=told | kept)
+                told=EvacuationSnapshot(revision=read.revision, domains=told | kept)
             )
         else:
             self._evacuations.take_changes(
--- a/dotterelpaddle/peers/messages.py
+++ b/dotterelpaddle/peers/messages.py
@@ -10,7 +10,7 @@
 
 from dotterelpaddle.address import Address
 from dotterelpaddle.exceptions import ControlError
-from dotterelpaddle.forwarding.evacuations import EvacuatedDomains
+from dotterelpaddle.forwarding.evacuations import EvacuationSnapshot
 from dotterelpaddle.forwarding.leaving import LeavingNote
 from dotterelpaddle.forwarding.shares import Ask, RepeatCounts, Scope, Share
 from dotterelpaddle.ids import (
@@ -140,7 +140,7 @@
     leaving_endpoints: tuple[LeavingNote, ...] = ()
     silent_owners: tuple[RouterId, ...] = ()
     platform_lost: bool = False
-    evacuated: EvacuatedDomains | None = None
+    evacuated: EvacuationSnapshot | None = None
 
 
 def encode_report(*, report: PeerReport) -> bytes:
@@ -312,17 +312,17 @@
     return fields[place] if len(fields) > place else default
 
 
-def _evacuated_fields(evacuated: EvacuatedDomains | None) -> list[Any] | None:
+def _evacuated_fields(evacuated: EvacuationSnapshot | None) -> list[Any] | None:
     if evacuated is None:
         return None
     return [evacuated.revision, sorted(evacuated.domains)]
 
 
-def _evacuated(fields: Any) -> EvacuatedDomains | None:
+def _evacuated(fields: Any) -> EvacuationSnapshot | None:
     if fields is None:
         return None
     revision, domains = fields
-    return EvacuatedDomains(
+    return EvacuationSnapshot(
         revision=Revision(int(revision)),
         domains=frozenset(FailureDomain(str(domain)) for domain in domains),
     )
--- a/dotterelpaddle/tests/forwarding/test_cold.py
+++ b/dotterelpaddle/tests/forwarding/test_cold.py
@@ -22,7 +22,7 @@
     ColdEndpoints,
     Decider,
 )
-from dotterelpaddle.forwarding.evacuations import EvacuatedDomains
+from dotterelpaddle.forwarding.evacuations import EvacuationSnapshot
 from dotterelpaddle.forwarding.health import HealthBook
 from dotterelpaddle.forwarding.interface import EndpointsUpdate
 from dotterelpaddle.forwarding.loads import LoadBook
@@ -231,7 +231,7 @@
     router.know(_entry(WARM), _entry(COLD))
     for revision, domains in enumerate([{HERE}, set()], start=1):
         router.view.evacuations.take(
-            told=EvacuatedDomains(
+            told=EvacuationSnapshot(
                 revision=Revision(revision), domains=frozenset(domains)
             )
         )
--- a/dotterelpaddle/tests/forwarding/test_evacuations_machine.py
+++ b/dotterelpaddle/tests/forwarding/test_evacuations_machine.py
@@ -6,9 +6,9 @@
 from hypothesis.stateful import RuleBasedStateMachine, invariant, rule
 
 from dotterelpaddle.forwarding.evacuations import (
-    EvacuatedDomains,
     EvacuationChange,
     Evacuations,
+    EvacuationSnapshot,
 )
 from dotterelpaddle.ids import FailureDomain, Revision
 
@@ -27,7 +27,7 @@
         self.routers = [Evacuations(clock=lambda: 0.0) for _ in range(2)]
         self.heard: list[int | None] = [None, None]
         self.changes: list[EvacuationChange] = []
-        self.states = [EvacuatedDomains(revision=Revision(0), domains=frozenset())]
+        self.states = [EvacuationSnapshot(revision=Revision(0), domains=frozenset())]
 
     @rule(domain=st.sampled_from(DOMAINS))
     def change(self, domain: FailureDomain) -> None:
@@ -42,7 +42,7 @@
             )
         )
         self.states.append(
-            EvacuatedDomains(revision=revision, domains=before.domains ^ {domain})
+            EvacuationSnapshot(revision=revision, domains=before.domains ^ {domain})
         )
 
     @rule(router=ROUTERS, data=st.data())
--- a/dotterelpaddle/tests/peers/test_messages.py
+++ b/dotterelpaddle/tests/peers/test_messages.py
@@ -9,7 +9,7 @@
 from dotterelpaddle.address import Address
 from dotterelpaddle.exceptions import ControlError
 from dotterelpaddle.forwarding.crashes import CrashNote, NoteKind
-from dotterelpaddle.forwarding.evacuations import EvacuatedDomains
+from dotterelpaddle.forwarding.evacuations import EvacuationSnapshot
 from dotterelpaddle.forwarding.leaving import LeavingNote
 from dotterelpaddle.forwarding.shares import Ask, RepeatCounts, Scope, Share
 from dotterelpaddle.ids import (
@@ -75,7 +75,7 @@
             "leaving": True,
             "silent_owners": (RouterId("third"),),
             "platform_lost": True,
-            "evacuated": EvacuatedDomains(
+            "evacuated": EvacuationSnapshot(
                 revision=Revision(8), domains=frozenset({FailureDomain("there")})
             ),
             "routers": 5,
--- a/dotterelpaddle/tests/peers/test_word.py
+++ b/dotterelpaddle/tests/peers/test_word.py
@@ -5,7 +5,7 @@
 import pytest
 
 from dotterelpaddle.address import Address
-from dotterelpaddle.forwarding.evacuations import EvacuatedDomains
+from dotterelpaddle.forwarding.evacuations import EvacuationSnapshot
 from dotterelpaddle.forwarding.interface import EndpointsUpdate
 from dotterelpaddle.forwarding.model import EndpointState
 from dotterelpaddle.forwarding.shares import Share, ShareBook
@@ -18,7 +18,7 @@
 
 OWN = Address(host="10.0.0.1", port=1)
 NEVER = float("inf")
-NONE_EVACUATED = EvacuatedDomains(revision=Revision(1), domains=frozenset())
+NONE_EVACUATED = EvacuationSnapshot(revision=Revision(1), domains=frozenset())
 
 
 def _view(*, revision: int, state: EndpointState = EndpointState.READY) -> FleetView:
@@ -63,7 +63,7 @@
         view: FleetView,
         age: float = 0.0,
         cut_off: bool = False,
-        evacuated: EvacuatedDomains | None = NONE_EVACUATED,
+        evacuated: EvacuationSnapshot | None = NONE_EVACUATED,
     ) -> None:
         self._sequence += 1
         report = PeerReport(
