--- a/dotterelpaddle/forwarding/evacuations.py
+++ b/dotterelpaddle/forwarding/evacuations.py
@@ -50,7 +50,7 @@
     evacuated: bool
 
 
-class Evacuations:
+class EvacuationTracker:
     """Remembers which failure domains are evacuated.
 
     Args:
--- a/dotterelpaddle/forwarding/view.py
+++ b/dotterelpaddle/forwarding/view.py
@@ -12,7 +12,7 @@
 import anyio
 
 from dotterelpaddle.forwarding.entry_tags import entries_tag, same_but_revision
-from dotterelpaddle.forwarding.evacuations import Evacuations, EvacuationSnapshot
+from dotterelpaddle.forwarding.evacuations import EvacuationSnapshot, EvacuationTracker
 from dotterelpaddle.forwarding.interface import EndpointsUpdate
 from dotterelpaddle.forwarding.leaving import LeavingEndpoints
 from dotterelpaddle.forwarding.model import (
@@ -60,7 +60,7 @@
     ) -> None:
         self._clock = clock
         self._leaving = leaving or LeavingEndpoints(clock=clock)
-        self._evacuations = Evacuations(clock=clock)
+        self._evacuations = EvacuationTracker(clock=clock)
         self._entry_observer: Callable[[EndpointEntry], None] | None = None
         self._configuration: FleetConfiguration | None = None
         self._routes: dict[str, tuple[ForwardRoute, ...]] = {}
@@ -131,7 +131,7 @@
         return self._leaving
 
     @property
-    def evacuations(self) -> Evacuations:
+    def evacuations(self) -> EvacuationTracker:
         """Failure domains whose endpoints get no new work."""
         return self._evacuations
 
--- a/dotterelpaddle/tests/forwarding/test_evacuations_machine.py
+++ b/dotterelpaddle/tests/forwarding/test_evacuations_machine.py
@@ -7,8 +7,8 @@
 
 from dotterelpaddle.forwarding.evacuations import (
     EvacuationChange,
-    Evacuations,
     EvacuationSnapshot,
+    EvacuationTracker,
 )
 from dotterelpaddle.ids import FailureDomain, Revision
 
@@ -24,7 +24,7 @@
 
     def __init__(self) -> None:
         super().__init__()
-        self.routers = [Evacuations(clock=lambda: 0.0) for _ in range(2)]
+        self.routers = [EvacuationTracker(clock=lambda: 0.0) for _ in range(2)]
         self.heard: list[int | None] = [None, None]
         self.changes: list[EvacuationChange] = []
         self.states = [EvacuationSnapshot(revision=Revision(0), domains=frozenset())]
