--- a/dotterelpaddle/forwarding/evacuations.py
+++ b/dotterelpaddle/forwarding/evacuations.py
@@ -69,7 +69,7 @@
         return self._domains
 
     @property
-    def known(self) -> EvacuationSnapshot | None:
+    def snapshot(self) -> EvacuationSnapshot | None:
         """What to tell other routers, None before anything was heard."""
         if self._revision is None:
             return None
--- a/dotterelpaddle/peers/exchange.py
+++ b/dotterelpaddle/peers/exchange.py
@@ -210,7 +210,7 @@
             leaving=self._directory.leaving,
             silent_owners=self._owners.silent,
             platform_lost=self._follower.failing,
-            evacuated=self._view.evacuations.known,
+            evacuated=self._view.evacuations.snapshot,
         )
 
     def _share(self, *, own: Share, recipient: Recipient) -> Share:
--- a/dotterelpaddle/tests/forwarding/test_evacuations_machine.py
+++ b/dotterelpaddle/tests/forwarding/test_evacuations_machine.py
@@ -68,7 +68,7 @@
     @rule(teller=ROUTERS)
     def tell(self, teller: int) -> None:
         """Let one router tell the other what it knows."""
-        told = self.routers[teller].known
+        told = self.routers[teller].snapshot
         if told is not None:
             self.routers[1 - teller].take(told=told)
             self._note(1 - teller, told.revision)
