--- a/dotterelpaddle/forwarding/evacuations.py
+++ b/dotterelpaddle/forwarding/evacuations.py
@@ -84,7 +84,9 @@
         """When a domain was taken back, seconds on the clock; -infinite if never."""
         return self._ended_at.get(failure_domain, float("-inf"))
 
-    def without(self, *, entries: Iterable[EndpointEntry]) -> tuple[EndpointEntry, ...]:
+    def exclude_evacuated(
+        self, *, entries: Iterable[EndpointEntry]
+    ) -> tuple[EndpointEntry, ...]:
         """Leave out the endpoints of evacuated domains."""
         if not self._domains:
             return tuple(entries)
--- a/dotterelpaddle/forwarding/view.py
+++ b/dotterelpaddle/forwarding/view.py
@@ -206,7 +206,7 @@
     def ready(self, *, service: ServiceName) -> tuple[EndpointEntry, ...]:
         """Endpoints of a service that take new work, as far as anybody has heard."""
         staying = self._leaving.without(entries=self.registered(service=service))
-        return self._evacuations.without(entries=staying)
+        return self._evacuations.exclude_evacuated(entries=staying)
 
     def last_resort(self, *, service: ServiceName) -> tuple[EndpointEntry, ...]:
         """Endpoints that may still serve if no other can.
@@ -215,7 +215,7 @@
         """
         gone = self._removed.still_serving(service=service)
         leaving = self._leaving.still_serving(entries=self.registered(service=service))
-        return self._evacuations.without(
+        return self._evacuations.exclude_evacuated(
             entries=(*self._leaving.without(entries=gone), *leaving)
         )
 
--- a/dotterelpaddle/peers/cache_lists.py
+++ b/dotterelpaddle/peers/cache_lists.py
@@ -126,7 +126,9 @@
         became_owner = bool(owns) and not self._owned
         if not self._view.complete or (self._caches.known and not became_owner):
             return
-        asked = self._view.evacuations.without(entries=self._view.routed_entries)
+        asked = self._view.evacuations.exclude_evacuated(
+            entries=self._view.routed_entries
+        )
         engines = [entry for entry in asked if entry.models]
         match whom_to_ask(
             engines=len(engines),
