--- a/dotterelpaddle/forwarding/evacuations.py
+++ b/dotterelpaddle/forwarding/evacuations.py
@@ -94,7 +94,7 @@
             each for each in entries if each.failure_domain not in self._domains
         )
 
-    def take(self, *, told: EvacuationSnapshot) -> None:
+    def apply_snapshot(self, *, told: EvacuationSnapshot) -> None:
         """Take in all domains that are evacuated as of some revision."""
         if self._revision is None or told.revision > self._revision:
             self._set(revision=told.revision, domains=told.domains)
--- a/dotterelpaddle/forwarding/view.py
+++ b/dotterelpaddle/forwarding/view.py
@@ -231,7 +231,7 @@
         if read.is_snapshot:
             told = frozenset(each.failure_domain for each in read.evacuations)
             kept = self._evacuations.domains & read.undecodable
-            self._evacuations.take(
+            self._evacuations.apply_snapshot(
                 told=EvacuationSnapshot(revision=read.revision, domains=told | kept)
             )
         else:
--- a/dotterelpaddle/peers/exchange.py
+++ b/dotterelpaddle/peers/exchange.py
@@ -296,7 +296,7 @@
         self._crashes.hear(notes=report.crashes, pass_on=origin is not None)
         self._view.leaving.hear(notes=report.leaving_endpoints)
         if report.evacuated is not None:
-            self._view.evacuations.take(told=report.evacuated)
+            self._view.evacuations.apply_snapshot(told=report.evacuated)
         return not known or report.ask is Ask.ANSWER
 
     def _origin(self, *, report: PeerReport) -> Origin | None:
