--- a/dotterelpaddle/forwarding/evacuations.py
+++ b/dotterelpaddle/forwarding/evacuations.py
@@ -99,7 +99,7 @@
         if self._revision is None or told.revision > self._revision:
             self._set(revision=told.revision, domains=told.domains)
 
-    def take_changes(
+    def apply_changes(
         self, *, changes: Iterable[EvacuationChange], revision: Revision
     ) -> None:
         """Take in all changes since a revision that is known.
--- a/dotterelpaddle/forwarding/view.py
+++ b/dotterelpaddle/forwarding/view.py
@@ -235,7 +235,7 @@
                 told=EvacuationSnapshot(revision=read.revision, domains=told | kept)
             )
         else:
-            self._evacuations.take_changes(
+            self._evacuations.apply_changes(
                 changes=read.evacuations, revision=read.revision
             )
         if read.configuration is not None:
--- a/dotterelpaddle/tests/forwarding/test_evacuations_machine.py
+++ b/dotterelpaddle/tests/forwarding/test_evacuations_machine.py
@@ -60,7 +60,7 @@
             return
         after = data.draw(st.integers(0, known))
         until = data.draw(st.integers(after, len(self.changes)))
-        self.routers[router].take_changes(
+        self.routers[router].apply_changes(
             changes=self.changes[after:until], revision=Revision(until)
         )
         self._note(router, until)
