--- a/dotterelpaddle/forwarding/isolation.py
+++ b/dotterelpaddle/forwarding/isolation.py
@@ -25,7 +25,7 @@
 
 log = get_logger(name=__name__)
 
-LOOK_PAUSE = 0.2
+CHECK_INTERVAL_SECONDS = 0.2
 """Seconds between looks, like that between reports; the balancer asks once a second."""
 
 
@@ -80,7 +80,7 @@
         """Look at the other failure domains until cancelled."""
         while True:
             self.look()
-            await anyio.sleep(LOOK_PAUSE)
+            await anyio.sleep(CHECK_INTERVAL_SECONDS)
 
     def look(self) -> None:
         """Judge by what is heard and reached now."""
