--- a/dotterelpaddle/forwarding/app.py
+++ b/dotterelpaddle/forwarding/app.py
@@ -26,7 +26,7 @@
     from dotterelpaddle.clock import Clock
     from dotterelpaddle.forwarding.filters import Next
     from dotterelpaddle.forwarding.interface import Headers, WireCodec
-    from dotterelpaddle.forwarding.isolation import Isolation
+    from dotterelpaddle.forwarding.isolation import IsolationDetector
     from dotterelpaddle.forwarding.metrics import ForwardMetrics
     from dotterelpaddle.forwarding.reply import Send
     from dotterelpaddle.forwarding.view import FleetView
@@ -65,7 +65,7 @@
         pipeline: Next,
         protocols: WireCodec,
         view: FleetView,
-        isolation: Isolation,
+        isolation: IsolationDetector,
         metrics: ForwardMetrics,
         clock: Clock,
     ) -> None:
--- a/dotterelpaddle/forwarding/isolation.py
+++ b/dotterelpaddle/forwarding/isolation.py
@@ -29,7 +29,7 @@
 """Seconds between looks, like that between reports; the balancer asks once a second."""
 
 
-class Isolation:
+class IsolationDetector:
     """Weighs the failure domains on either side.
 
     A domain is on the other side if none of its routers is heard and none of its
--- a/dotterelpaddle/forwarding/parts.py
+++ b/dotterelpaddle/forwarding/parts.py
@@ -17,7 +17,7 @@
 from dotterelpaddle.forwarding.filters import FindRoute, Forward, KeepDeadline
 from dotterelpaddle.forwarding.follower import Follower
 from dotterelpaddle.forwarding.health import HealthBook
-from dotterelpaddle.forwarding.isolation import Isolation
+from dotterelpaddle.forwarding.isolation import IsolationDetector
 from dotterelpaddle.forwarding.leaving import LeavingEndpoints
 from dotterelpaddle.forwarding.loads import LoadBook
 from dotterelpaddle.forwarding.metrics import ForwardMetrics, MetricsPage, Observed
@@ -137,7 +137,7 @@
     follower: Follower
     reachability: Reachability
     endings: Endings
-    isolation: Isolation
+    isolation: IsolationDetector
     exchange: PeerExchange
     owners: OwnerExchange
     fetcher: Fetcher
@@ -197,7 +197,7 @@
         leaving=knowledge.view.leaving,
         clock=clock,
     )
-    isolation = Isolation(
+    isolation = IsolationDetector(
         view=knowledge.view,
         reachability=reachability,
         failure_domain=settings.failure_domain,
--- a/dotterelpaddle/tests/forwarding/test_isolation.py
+++ b/dotterelpaddle/tests/forwarding/test_isolation.py
@@ -7,7 +7,7 @@
 import pytest
 
 from dotterelpaddle.forwarding.interface import EndpointsUpdate
-from dotterelpaddle.forwarding.isolation import Isolation
+from dotterelpaddle.forwarding.isolation import IsolationDetector
 from dotterelpaddle.forwarding.view import FleetView
 from dotterelpaddle.ids import FailureDomain, Revision, ServiceName
 from dotterelpaddle.tests.forwarding.entries import make_entry
@@ -53,7 +53,7 @@
         self.view = view
         self.reachability = ScriptedReachability()
         self.heard = dict.fromkeys(slots, True)
-        self.isolation = Isolation(
+        self.isolation = IsolationDetector(
             view=view,
             reachability=_as_reachability(self.reachability),
             failure_domain=HERE,
@@ -179,7 +179,7 @@
     async with run_fleet() as fleet:
         app = fleet.routers[0].parts.app
         assert app.ready
-        monkeypatch.setattr(Isolation, "isolated", True)
+        monkeypatch.setattr(IsolationDetector, "isolated", True)
         answer = await fleet.call("/safe/")
 
         assert not app.ready
