--- a/dotterelpaddle/forwarding/isolation.py
+++ b/dotterelpaddle/forwarding/isolation.py
@@ -79,10 +79,10 @@
     async def run(self) -> None:
         """Look at the other failure domains until cancelled."""
         while True:
-            self.look()
+            self.check()
             await anyio.sleep(CHECK_INTERVAL_SECONDS)
 
-    def look(self) -> None:
+    def check(self) -> None:
         """Judge by what is heard and reached now."""
         heard = self._routers()
         silent = frozenset(domain for domain, any_ in heard.items() if not any_)
--- a/dotterelpaddle/tests/forwarding/test_isolation.py
+++ b/dotterelpaddle/tests/forwarding/test_isolation.py
@@ -67,7 +67,7 @@
             self.reachability.unreachable.add(domain)
 
     def isolated(self) -> bool:
-        self.isolation.look()
+        self.isolation.check()
         return self.isolation.isolated
 
 
