--- a/dotterelpaddle/forwarding/reachability.py
+++ b/dotterelpaddle/forwarding/reachability.py
@@ -29,7 +29,7 @@
 
 log = get_logger(name=__name__)
 
-PROBE_TIME = 0.15
+PROBE_TIMEOUT_SECONDS = 0.15
 """Seconds in which a connection must stand; the farthest endpoint answers within
 some 5 ms, and a lost packet is sent again after a second only."""
 
@@ -138,7 +138,7 @@
     async def _probe(self, endpoint: EndpointId, probed: set[EndpointId]) -> None:
         began_at = self._clock()
         entry = self._suspects[endpoint]
-        seconds = PROBE_TIME
+        seconds = PROBE_TIMEOUT_SECONDS
         while not await self._connects(entry=entry, seconds=seconds):
             if seconds == SECOND_PROBE_TIME:
                 self._out_of_reach.add(endpoint)
