--- a/dotterelpaddle/forwarding/reachability.py
+++ b/dotterelpaddle/forwarding/reachability.py
@@ -33,7 +33,7 @@
 """Seconds in which a connection must stand; the farthest endpoint answers within
 some 5 ms, and a lost packet is sent again after a second only."""
 
-SECOND_PROBE_TIME = 0.5
+RETRY_PROBE_TIMEOUT_SECONDS = 0.5
 """The same after a first try in vain: a busy host may need longer. One that does not
 answer in that time either is out of reach beyond doubt."""
 
@@ -140,9 +140,9 @@
         entry = self._suspects[endpoint]
         seconds = PROBE_TIMEOUT_SECONDS
         while not await self._connects(entry=entry, seconds=seconds):
-            if seconds == SECOND_PROBE_TIME:
+            if seconds == RETRY_PROBE_TIMEOUT_SECONDS:
                 self._out_of_reach.add(endpoint)
-            seconds = SECOND_PROBE_TIME
+            seconds = RETRY_PROBE_TIMEOUT_SECONDS
             await anyio.sleep(PROBE_PAUSE)
             if all(each.endpoint != endpoint for each in self._view.entries):
                 break
