--- a/dotterelpaddle/forwarding/reachability.py
+++ b/dotterelpaddle/forwarding/reachability.py
@@ -37,7 +37,7 @@
 """The same after a first try in vain: a busy host may need longer. One that does not
 answer in that time either is out of reach beyond doubt."""
 
-PROBE_PAUSE = 0.4
+PROBE_INTERVAL_SECONDS = 0.4
 """Seconds between two tries of a connection to one endpoint."""
 
 
@@ -143,7 +143,7 @@
             if seconds == RETRY_PROBE_TIMEOUT_SECONDS:
                 self._out_of_reach.add(endpoint)
             seconds = RETRY_PROBE_TIMEOUT_SECONDS
-            await anyio.sleep(PROBE_PAUSE)
+            await anyio.sleep(PROBE_INTERVAL_SECONDS)
             if all(each.endpoint != endpoint for each in self._view.entries):
                 break
         del self._suspects[endpoint]
