--- a/dotterelpaddle/forwarding/endings.py
+++ b/dotterelpaddle/forwarding/endings.py
@@ -12,7 +12,7 @@
 import anyio
 
 from dotterelpaddle.forwarding.model import EndpointState
-from dotterelpaddle.forwarding.reachability import Connecting, try_connection
+from dotterelpaddle.forwarding.reachability import ConnectionOutcome, try_connection
 from dotterelpaddle.logs import get_logger
 
 if TYPE_CHECKING:
@@ -136,9 +136,9 @@
                 backend=self._backend, address=entry.address, seconds=CONNECT_TIME
             )
             match tried:
-                case Connecting.REFUSED:
+                case ConnectionOutcome.REFUSED:
                     return True
-                case Connecting.STANDS:
+                case ConnectionOutcome.STANDS:
                     return False
             await anyio.sleep(LOOK_PAUSE)
         return False
--- a/dotterelpaddle/forwarding/reachability.py
+++ b/dotterelpaddle/forwarding/reachability.py
@@ -41,7 +41,7 @@
 """Seconds between two tries of a connection to one endpoint."""
 
 
-class Connecting(Enum):
+class ConnectionOutcome(Enum):
     """What became of a try to connect to an endpoint."""
 
     STANDS = "stands"
@@ -159,12 +159,12 @@
         tried = await try_connection(
             backend=self._backend, address=entry.address, seconds=seconds
         )
-        return tried is Connecting.STANDS
+        return tried is ConnectionOutcome.STANDS
 
 
 async def try_connection(
     *, backend: LinkedBackend, address: Address, seconds: float
-) -> Connecting:
+) -> ConnectionOutcome:
     """Open a connection to an endpoint, and close it again.
 
     Args:
@@ -175,8 +175,8 @@
     try:
         stream = await backend.connect_tcp(address.host, address.port, seconds)
     except httpcore.ConnectError:
-        return Connecting.REFUSED
+        return ConnectionOutcome.REFUSED
     except httpcore.ConnectTimeout:
-        return Connecting.SILENT
+        return ConnectionOutcome.SILENT
     await stream.aclose()
-    return Connecting.STANDS
+    return ConnectionOutcome.STANDS
