--- a/dotterelpaddle/forwarding/endings.py
+++ b/dotterelpaddle/forwarding/endings.py
@@ -138,7 +138,7 @@
             match tried:
                 case ConnectionOutcome.REFUSED:
                     return True
-                case ConnectionOutcome.STANDS:
+                case ConnectionOutcome.ESTABLISHED:
                     return False
             await anyio.sleep(LOOK_PAUSE)
         return False
--- a/dotterelpaddle/forwarding/reachability.py
+++ b/dotterelpaddle/forwarding/reachability.py
@@ -44,7 +44,7 @@
 class ConnectionOutcome(Enum):
     """What became of a try to connect to an endpoint."""
 
-    STANDS = "stands"
+    ESTABLISHED = "stands"
     REFUSED = "refused"
     SILENT = "silent"
 
@@ -159,7 +159,7 @@
         tried = await try_connection(
             backend=self._backend, address=entry.address, seconds=seconds
         )
-        return tried is ConnectionOutcome.STANDS
+        return tried is ConnectionOutcome.ESTABLISHED
 
 
 async def try_connection(
@@ -179,4 +179,4 @@
     except httpcore.ConnectTimeout:
         return ConnectionOutcome.SILENT
     await stream.aclose()
-    return ConnectionOutcome.STANDS
+    return ConnectionOutcome.ESTABLISHED
