--- a/dotterelpaddle/forwarding/reachability.py
+++ b/dotterelpaddle/forwarding/reachability.py
@@ -46,7 +46,7 @@
 
     ESTABLISHED = "stands"
     REFUSED = "refused"
-    SILENT = "silent"
+    TIMED_OUT = "silent"
 
 
 class Reachability:
@@ -177,6 +177,6 @@
     except httpcore.ConnectError:
         return ConnectionOutcome.REFUSED
     except httpcore.ConnectTimeout:
-        return ConnectionOutcome.SILENT
+        return ConnectionOutcome.TIMED_OUT
     await stream.aclose()
     return ConnectionOutcome.ESTABLISHED
