--- a/dotterelpaddle/forwarding/candidates.py
+++ b/dotterelpaddle/forwarding/candidates.py
@@ -100,7 +100,7 @@
             and not self._quiet.is_quiet(endpoint=entry.endpoint)
         ]
         for entries_left in (reachable, fresh, last):
-            remaining = self._reachability.perhaps_reachable(entries=entries_left)
+            remaining = self._reachability.possibly_reachable(entries=entries_left)
             if remaining:
                 return remaining
         raise NoEndpoint(
--- a/dotterelpaddle/forwarding/reachability.py
+++ b/dotterelpaddle/forwarding/reachability.py
@@ -79,7 +79,7 @@
         """Return the endpoints that are not passed over."""
         return [entry for entry in entries if entry.endpoint not in self._suspects]
 
-    def perhaps_reachable(
+    def possibly_reachable(
         self, *, entries: Iterable[EndpointEntry]
     ) -> list[EndpointEntry]:
         """Return the endpoints that are not out of reach beyond doubt."""
--- a/dotterelpaddle/tests/forwarding/test_reachability.py
+++ b/dotterelpaddle/tests/forwarding/test_reachability.py
@@ -37,7 +37,7 @@
         await fleet.call("/safe/")
         parts = fleet.routers[0].parts
         entries = parts.knowledge.view.entries
-        await until(lambda: not parts.reachability.perhaps_reachable(entries=entries))
+        await until(lambda: not parts.reachability.possibly_reachable(entries=entries))
 
 
 def _failed_attempts(fleet: Fleet) -> float:
