--- a/dotterelpaddle/forwarding/isolation.py
+++ b/dotterelpaddle/forwarding/isolation.py
@@ -88,7 +88,7 @@
         silent = frozenset(domain for domain, any_ in heard.items() if not any_)
         for domain in silent - self._silent:
             # Requests find out too, but may not go there for a while.
-            self._reachability.check(failure_domain=domain)
+            self._reachability.suspect_domain(failure_domain=domain)
         self._silent = silent
         unreachable = self._unreachable()
         # Routers are forgotten after a while; their domain stays lost without them.
--- a/dotterelpaddle/forwarding/reachability.py
+++ b/dotterelpaddle/forwarding/reachability.py
@@ -97,7 +97,7 @@
             suspects += self._entries_in(failure_domain=entry.failure_domain)
         self._add(suspects=suspects, because_of=entry.endpoint, silent=silent)
 
-    def check(self, *, failure_domain: FailureDomain) -> None:
+    def suspect_domain(self, *, failure_domain: FailureDomain) -> None:
         """Pass over the endpoints of a failure domain until a connection stands."""
         self._add(
             suspects=self._entries_in(failure_domain=failure_domain),
