--- a/dotterelpaddle/forwarding/endings.py
+++ b/dotterelpaddle/forwarding/endings.py
@@ -12,7 +12,7 @@
 import anyio
 
 from dotterelpaddle.forwarding.model import EndpointState
-from dotterelpaddle.forwarding.reachability import ConnectionOutcome, try_connection
+from dotterelpaddle.forwarding.reachability import ConnectionOutcome, probe_connection
 from dotterelpaddle.logs import get_logger
 
 if TYPE_CHECKING:
@@ -132,7 +132,7 @@
 
     async def _has_ended(self, *, entry: EndpointEntry) -> bool:
         for _ in range(LOOKS):
-            tried = await try_connection(
+            tried = await probe_connection(
                 backend=self._backend, address=entry.address, seconds=CONNECT_TIME
             )
             match tried:
--- a/dotterelpaddle/forwarding/reachability.py
+++ b/dotterelpaddle/forwarding/reachability.py
@@ -156,7 +156,7 @@
         )
 
     async def _connects(self, *, entry: EndpointEntry, seconds: float) -> bool:
-        tried = await try_connection(
+        tried = await probe_connection(
             backend=self._backend, address=entry.address, seconds=seconds
         )
         return tried is ConnectionOutcome.ESTABLISHED
