--- a/dotterelpaddle/forwarding/removals.py
+++ b/dotterelpaddle/forwarding/removals.py
@@ -19,7 +19,7 @@
 
 log = get_logger(name=__name__)
 
-LAST_RESORT_TIME = 1.2
+LAST_RESORT_SECONDS = 1.2
 """Seconds that an endpoint without an entry may still serve if no other can.
 
 An endpoint whose entry goes without a word still serves for the two seconds or
@@ -121,7 +121,7 @@
             entry=entry,
             revision=revision,
             at=now,
-            until=held_until if held else now + LAST_RESORT_TIME,
+            until=held_until if held else now + LAST_RESORT_SECONDS,
             held=held,
         )
         log.info(
