--- a/dotterelpaddle/forwarding/removals.py
+++ b/dotterelpaddle/forwarding/removals.py
@@ -75,7 +75,7 @@
         """Those that serve like others, as they may only have lapsed."""
         return tuple(each.entry for each in self._removed.values() if each.held)
 
-    def note_return(self) -> None:
+    def note_platform_recovery(self) -> None:
         """Note that the platform is back; entries may be missing for a while."""
         self._returned_at = self._clock()
 
--- a/dotterelpaddle/forwarding/view.py
+++ b/dotterelpaddle/forwarding/view.py
@@ -221,7 +221,7 @@
 
     def note_platform_recovery(self) -> None:
         """Note that the platform is back; entries may be missing for a while."""
-        self._removed.note_return()
+        self._removed.note_platform_recovery()
 
     def apply_operator_update(self, *, read: OperatorUpdate) -> None:
         """Take in what the operator wants.
