--- a/dotterelpaddle/forwarding/removals.py
+++ b/dotterelpaddle/forwarding/removals.py
@@ -79,7 +79,7 @@
         """Note that the platform is back; entries may be missing for a while."""
         self._returned_at = self._clock()
 
-    def since(self, *, revision: Revision) -> dict[EndpointName, Revision]:
+    def removed_since(self, *, revision: Revision) -> dict[EndpointName, Revision]:
         """Names of entries that have gone after a revision."""
         return {
             name: removed.revision
--- a/dotterelpaddle/forwarding/view.py
+++ b/dotterelpaddle/forwarding/view.py
@@ -189,7 +189,7 @@
                 for name, entry in self._entries.items()
                 if self._changed_at[name] > revision
             ),
-            removed=self._removed.since(revision=revision),
+            removed=self._removed.removed_since(revision=revision),
         )
 
     def route(self, *, host: str, path: str) -> ForwardRoute | None:
