--- a/dotterelpaddle/forwarding/removals.py
+++ b/dotterelpaddle/forwarding/removals.py
@@ -98,7 +98,7 @@
             and each.entry.state is EndpointState.READY
         )
 
-    def outdates(self, *, entry: EndpointEntry) -> bool:
+    def supersedes(self, *, entry: EndpointEntry) -> bool:
         """Tell whether an entry that comes in is older than its removal.
 
         The removal of one that is not is forgotten.
--- a/dotterelpaddle/forwarding/view.py
+++ b/dotterelpaddle/forwarding/view.py
@@ -304,7 +304,7 @@
         known = self._entries.get(name)
         if known is not None and known.precedence >= entry.precedence:
             return False
-        if self._removed.outdates(entry=entry):
+        if self._removed.supersedes(entry=entry):
             return False
         self._entries[name] = entry
         if self._entry_observer is not None:
