--- a/dotterelpaddle/forwarding/removals.py
+++ b/dotterelpaddle/forwarding/removals.py
@@ -133,7 +133,7 @@
             held=held,
         )
 
-    def add_again(self, *, name: EndpointName, revision: Revision) -> None:
+    def renew(self, *, name: EndpointName, revision: Revision) -> None:
         """Note that an entry that had gone came and went again, unseen here."""
         removed = self._removed.get(name)
         if removed is not None and revision > removed.revision:
--- a/dotterelpaddle/forwarding/view.py
+++ b/dotterelpaddle/forwarding/view.py
@@ -325,7 +325,7 @@
     def _remove(self, name: EndpointName, revision: Revision) -> bool:
         entry = self._entries.get(name)
         if entry is None:
-            self._removed.add_again(name=name, revision=revision)
+            self._removed.renew(name=name, revision=revision)
             return False
         if entry.revision > revision:
             return False
