--- a/dotterelpaddle/forwarding/removals.py
+++ b/dotterelpaddle/forwarding/removals.py
@@ -139,7 +139,7 @@
         if removed is not None and revision > removed.revision:
             self._removed[name] = replace(removed, revision=revision, at=self._clock())
 
-    def expire(self) -> bool:
+    def expire_holds(self) -> bool:
         """Hold entries no longer whose time after the platform's return is over.
 
         Returns:
--- a/dotterelpaddle/forwarding/view.py
+++ b/dotterelpaddle/forwarding/view.py
@@ -292,7 +292,7 @@
 
     def expire_holds(self) -> None:
         """Drop endpoints that were held for the time after the platform's return."""
-        if self._removed.expire():
+        if self._removed.expire_holds():
             self._index()
 
     def _note_complete(self) -> None:
