--- a/dotterelpaddle/forwarding/removals.py
+++ b/dotterelpaddle/forwarding/removals.py
@@ -156,7 +156,7 @@
             log.info("endpoint_hold_ended", endpoint=self._removed[name].entry.endpoint)
         return bool(lapsed)
 
-    def forget(self) -> Revision | None:
+    def expire_tombstones(self) -> Revision | None:
         """Forget removals of long ago, and return the latest revision of them."""
         oldest = self._clock() - TOMBSTONE_SECONDS
         forgotten = [
--- a/dotterelpaddle/forwarding/view.py
+++ b/dotterelpaddle/forwarding/view.py
@@ -285,7 +285,7 @@
         self._note_complete()
         if changed:
             self._index()
-        forgotten = self._removed.forget()
+        forgotten = self._removed.expire_tombstones()
         if forgotten is not None:
             self._changes_from = max(self._changes_from, forgotten)
         return changed
