--- a/dotterelpaddle/forwarding/leaving.py
+++ b/dotterelpaddle/forwarding/leaving.py
@@ -22,7 +22,7 @@
 
 log = get_logger(name=__name__)
 
-SERVE_MARGIN = 0.3
+SERVE_MARGIN_SECONDS = 0.3
 """Seconds before the end of its time from which a leaving endpoint gets nothing at all:
 a connection and the way there take a part of that."""
 
@@ -92,7 +92,7 @@
         self, *, entries: Iterable[EndpointEntry]
     ) -> tuple[EndpointEntry, ...]:
         """Endpoints that leave, and to which requests may go where no other is left."""
-        since = self._clock() - self._serve_time + SERVE_MARGIN
+        since = self._clock() - self._serve_time + SERVE_MARGIN_SECONDS
         return tuple(
             each
             for each in entries
--- a/dotterelpaddle/tests/forwarding/test_leaving.py
+++ b/dotterelpaddle/tests/forwarding/test_leaving.py
@@ -11,7 +11,7 @@
     MOST_TOLD,
     REMEMBERED_TIME,
     RETELL_TIME,
-    SERVE_MARGIN,
+    SERVE_MARGIN_SECONDS,
     LeavingEndpoints,
     LeavingNote,
 )
@@ -138,7 +138,7 @@
 ) -> None:
     world.answer("a", leaving=True)
     assert world.last == ["a"]
-    world.now += SERVE_TIME - SERVE_MARGIN
+    world.now += SERVE_TIME - SERVE_MARGIN_SECONDS
     world.answer("a", leaving=True)
 
     assert world.last == []
