--- a/dotterelpaddle/forwarding/leaving.py
+++ b/dotterelpaddle/forwarding/leaving.py
@@ -26,7 +26,7 @@
 """Seconds before the end of its time from which a leaving endpoint gets nothing at all:
 a connection and the way there take a part of that."""
 
-REMEMBERED_TIME = 600.0
+RETENTION_SECONDS = 600.0
 """Seconds for which it is remembered; endpoints are gone long before."""
 
 MOST_TOLD = 16
@@ -130,5 +130,5 @@
 
     def _forget(self, *, now: float) -> None:
         for endpoint, heard in tuple(self._heard.items()):
-            if now - heard.at > REMEMBERED_TIME:
+            if now - heard.at > RETENTION_SECONDS:
                 del self._heard[endpoint]
--- a/dotterelpaddle/tests/forwarding/test_leaving.py
+++ b/dotterelpaddle/tests/forwarding/test_leaving.py
@@ -9,8 +9,8 @@
 from dotterelpaddle.forwarding.interface import AnswerHead, EndpointsUpdate
 from dotterelpaddle.forwarding.leaving import (
     MOST_TOLD,
-    REMEMBERED_TIME,
     RETELL_TIME,
+    RETENTION_SECONDS,
     SERVE_MARGIN_SECONDS,
     LeavingEndpoints,
     LeavingNote,
@@ -197,7 +197,7 @@
 
 def test_it_is_forgotten_long_after_the_endpoint_is_gone(world: World) -> None:
     world.answer("a", leaving=True)
-    world.now += REMEMBERED_TIME + 1.0
+    world.now += RETENTION_SECONDS + 1.0
     world.leaving.news()
 
     assert EndpointId("a") not in world.leaving
