--- a/dotterelpaddle/forwarding/leaving.py
+++ b/dotterelpaddle/forwarding/leaving.py
@@ -29,7 +29,7 @@
 RETENTION_SECONDS = 600.0
 """Seconds for which it is remembered; endpoints are gone long before."""
 
-MOST_TOLD = 16
+MAX_NOTICES_PER_REPORT = 16
 """Endpoints told of in one report, 0.5 KB."""
 
 RETELL_TIME = 2.0
@@ -110,11 +110,11 @@
             if heard.telling.is_due(now=now, pause=RETELL_TIME)
         ]
         due.sort(key=lambda item: item[1].at, reverse=True)
-        for _, heard in due[:MOST_TOLD]:
+        for _, heard in due[:MAX_NOTICES_PER_REPORT]:
             heard.telling.note_told(now=now)
         return tuple(
             LeavingNote(endpoint=endpoint, age=now - heard.at)
-            for endpoint, heard in due[:MOST_TOLD]
+            for endpoint, heard in due[:MAX_NOTICES_PER_REPORT]
         )
 
     def _take_in(self, endpoint: EndpointId, heard: _Heard, *, told_by: str) -> None:
--- a/dotterelpaddle/tests/forwarding/test_leaving.py
+++ b/dotterelpaddle/tests/forwarding/test_leaving.py
@@ -8,7 +8,7 @@
 
 from dotterelpaddle.forwarding.interface import AnswerHead, EndpointsUpdate
 from dotterelpaddle.forwarding.leaving import (
-    MOST_TOLD,
+    MAX_NOTICES_PER_REPORT,
     RETELL_TIME,
     RETENTION_SECONDS,
     SERVE_MARGIN_SECONDS,
@@ -183,13 +183,13 @@
 
 
 def test_reports_tell_of_some_at_a_time_and_of_all_in_the_end(world: World) -> None:
-    names = {f"engine-{number}" for number in range(3 * MOST_TOLD)}
+    names = {f"engine-{number}" for number in range(3 * MAX_NOTICES_PER_REPORT)}
     for name in names:
         world.answer(name, leaving=True)
     told = set()
     for _ in range(3 * TIMES_TOLD):
         news = world.leaving.news()
-        assert len(news) <= MOST_TOLD
+        assert len(news) <= MAX_NOTICES_PER_REPORT
         told |= {note.endpoint for note in news}
 
     assert told == names
