--- a/dotterelpaddle/forwarding/leaving.py
+++ b/dotterelpaddle/forwarding/leaving.py
@@ -32,7 +32,7 @@
 MAX_NOTICES_PER_REPORT = 16
 """Endpoints told of in one report, 0.5 KB."""
 
-RETELL_TIME = 2.0
+RESEND_INTERVAL_SECONDS = 2.0
 """Seconds until others are told again, who were cut off or have just started."""
 
 
@@ -107,7 +107,7 @@
         due = [
             (endpoint, heard)
             for endpoint, heard in self._heard.items()
-            if heard.telling.is_due(now=now, pause=RETELL_TIME)
+            if heard.telling.is_due(now=now, pause=RESEND_INTERVAL_SECONDS)
         ]
         due.sort(key=lambda item: item[1].at, reverse=True)
         for _, heard in due[:MAX_NOTICES_PER_REPORT]:
--- a/dotterelpaddle/tests/forwarding/test_leaving.py
+++ b/dotterelpaddle/tests/forwarding/test_leaving.py
@@ -9,7 +9,7 @@
 from dotterelpaddle.forwarding.interface import AnswerHead, EndpointsUpdate
 from dotterelpaddle.forwarding.leaving import (
     MAX_NOTICES_PER_REPORT,
-    RETELL_TIME,
+    RESEND_INTERVAL_SECONDS,
     RETENTION_SECONDS,
     SERVE_MARGIN_SECONDS,
     LeavingEndpoints,
@@ -175,10 +175,10 @@
     world.answer("a", leaving=True)
     told = [len(world.leaving.news()) for _ in range(TIMES_TOLD + 1)]
     assert told == [1] * TIMES_TOLD + [0]
-    world.now += RETELL_TIME
+    world.now += RESEND_INTERVAL_SECONDS
 
     assert world.leaving.news() == (
-        LeavingNote(endpoint=EndpointId("a"), age=RETELL_TIME),
+        LeavingNote(endpoint=EndpointId("a"), age=RESEND_INTERVAL_SECONDS),
     )
 
 
