--- a/dotterelpaddle/forwarding/leaving.py
+++ b/dotterelpaddle/forwarding/leaving.py
@@ -37,7 +37,7 @@
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
-class LeavingNote:
+class LeavingNotice:
     """An endpoint that leaves, as routers tell each other.
 
     Attributes:
@@ -75,7 +75,7 @@
         """Note that an answer said that its endpoint leaves."""
         self._take_in(endpoint, _Heard(at=self._clock()), told_by="endpoint")
 
-    def hear(self, *, notes: Iterable[LeavingNote]) -> None:
+    def hear(self, *, notes: Iterable[LeavingNotice]) -> None:
         """Take in what another router told."""
         now = self._clock()
         for note in notes:
@@ -100,7 +100,7 @@
             and heard.at > since
         )
 
-    def news(self) -> tuple[LeavingNote, ...]:
+    def news(self) -> tuple[LeavingNotice, ...]:
         """What to tell in the next report, the latest first."""
         now = self._clock()
         self._forget(now=now)
@@ -113,7 +113,7 @@
         for _, heard in due[:MAX_NOTICES_PER_REPORT]:
             heard.telling.note_told(now=now)
         return tuple(
-            LeavingNote(endpoint=endpoint, age=now - heard.at)
+            LeavingNotice(endpoint=endpoint, age=now - heard.at)
             for endpoint, heard in due[:MAX_NOTICES_PER_REPORT]
         )
 
--- a/dotterelpaddle/peers/messages.py
+++ b/dotterelpaddle/peers/messages.py
@@ -11,7 +11,7 @@
 from dotterelpaddle.address import Address
 from dotterelpaddle.exceptions import ControlError
 from dotterelpaddle.forwarding.evacuations import EvacuationSnapshot
-from dotterelpaddle.forwarding.leaving import LeavingNote
+from dotterelpaddle.forwarding.leaving import LeavingNotice
 from dotterelpaddle.forwarding.shares import Ask, RepeatCounts, Scope, Share
 from dotterelpaddle.ids import (
     EndpointId,
@@ -137,7 +137,7 @@
     owners: tuple[PeerName, ...] = ()
     leaving: bool = False
     crashes: tuple[CrashNote, ...] = ()
-    leaving_endpoints: tuple[LeavingNote, ...] = ()
+    leaving_endpoints: tuple[LeavingNotice, ...] = ()
     silent_owners: tuple[RouterId, ...] = ()
     platform_lost: bool = False
     evacuated: EvacuationSnapshot | None = None
@@ -328,9 +328,11 @@
     )
 
 
-def _leaving(fields: Any) -> LeavingNote:
+def _leaving(fields: Any) -> LeavingNotice:
     endpoint, age = fields
-    return LeavingNote(endpoint=EndpointId(str(endpoint)), age=max(0, int(age)) / 1000)
+    return LeavingNotice(
+        endpoint=EndpointId(str(endpoint)), age=max(0, int(age)) / 1000
+    )
 
 
 def _peer_fields(peer: PeerName) -> list[Any]:
--- a/dotterelpaddle/tests/forwarding/test_leaving.py
+++ b/dotterelpaddle/tests/forwarding/test_leaving.py
@@ -13,7 +13,7 @@
     RETENTION_SECONDS,
     SERVE_MARGIN_SECONDS,
     LeavingEndpoints,
-    LeavingNote,
+    LeavingNotice,
 )
 from dotterelpaddle.forwarding.model import EndpointEntry, EndpointState, endpoint_id
 from dotterelpaddle.forwarding.notices import EndpointNotices
@@ -163,7 +163,7 @@
 def test_word_of_another_router_counts_from_when_that_one_heard_it(
     world: World,
 ) -> None:
-    note = LeavingNote(endpoint=EndpointId("a"), age=SERVE_TIME)
+    note = LeavingNotice(endpoint=EndpointId("a"), age=SERVE_TIME)
     world.leaving.hear(notes=[note])
 
     assert world.ready == ["b"]
@@ -178,7 +178,7 @@
     world.now += RESEND_INTERVAL_SECONDS
 
     assert world.leaving.news() == (
-        LeavingNote(endpoint=EndpointId("a"), age=RESEND_INTERVAL_SECONDS),
+        LeavingNotice(endpoint=EndpointId("a"), age=RESEND_INTERVAL_SECONDS),
     )
 
 
--- a/dotterelpaddle/tests/peers/test_messages.py
+++ b/dotterelpaddle/tests/peers/test_messages.py
@@ -10,7 +10,7 @@
 from dotterelpaddle.exceptions import ControlError
 from dotterelpaddle.forwarding.crashes import CrashNote, NoteKind
 from dotterelpaddle.forwarding.evacuations import EvacuationSnapshot
-from dotterelpaddle.forwarding.leaving import LeavingNote
+from dotterelpaddle.forwarding.leaving import LeavingNotice
 from dotterelpaddle.forwarding.shares import Ask, RepeatCounts, Scope, Share
 from dotterelpaddle.ids import (
     EndpointId,
@@ -142,7 +142,7 @@
 
 
 def test_endpoints_that_leave_survive_the_wire() -> None:
-    notes = (LeavingNote(endpoint=EndpointId("a@1"), age=1.5),)
+    notes = (LeavingNotice(endpoint=EndpointId("a@1"), age=1.5),)
     report = _report(leaving_endpoints=notes)
 
     assert decode_report(datagram=encode_report(report=report)) == report
