--- a/dotterelpaddle/forwarding/leaving.py
+++ b/dotterelpaddle/forwarding/leaving.py
@@ -71,7 +71,7 @@
     def __contains__(self, endpoint: EndpointId) -> bool:
         return endpoint in self._heard
 
-    def note(self, *, endpoint: EndpointId) -> None:
+    def record(self, *, endpoint: EndpointId) -> None:
         """Note that an answer said that its endpoint leaves."""
         self._take_in(endpoint, _Heard(at=self._clock()), told_by="endpoint")
 
--- a/dotterelpaddle/forwarding/notices.py
+++ b/dotterelpaddle/forwarding/notices.py
@@ -42,6 +42,6 @@
                 retry_after=head.retry_after,
             )
         if head.leaving:
-            self._leaving.note(endpoint=endpoint)
+            self._leaving.record(endpoint=endpoint)
         if head.retry_after is not None and head.status in PROMISES:
             self._quiet.note(endpoint=endpoint, seconds=head.retry_after)
--- a/dotterelpaddle/peers/cache_lists.py
+++ b/dotterelpaddle/peers/cache_lists.py
@@ -175,6 +175,6 @@
             log.warning("cache_unread", endpoint=entry.endpoint, cause=error.message)
             return
         if cached.leaving:
-            self._view.leaving.note(endpoint=cached.endpoint)
+            self._view.leaving.record(endpoint=cached.endpoint)
         self._caches.hear(uses=[(part, cached.endpoint) for part in cached.parts])
         log.info("cache_read", endpoint=cached.endpoint, parts=len(cached.parts))
--- a/dotterelpaddle/tests/forwarding/test_endings.py
+++ b/dotterelpaddle/tests/forwarding/test_endings.py
@@ -112,7 +112,7 @@
 async def test_end_of_an_endpoint_whose_answer_said_it_leaves_says_nothing() -> None:
     async with _looking() as looked:
         for number in range(MOST_ENDED):
-            looked.leaving.note(endpoint=EndpointId(f"engine-{number}"))
+            looked.leaving.record(endpoint=EndpointId(f"engine-{number}"))
         looked.broke_off(address=CLOSED)
 
         assert not looked.endings._waiting
--- a/dotterelpaddle/tests/owners/test_routers.py
+++ b/dotterelpaddle/tests/owners/test_routers.py
@@ -123,7 +123,7 @@
         heard = await _start(fleet)
         view = fleet.routers[ASKING].parts.knowledge.view
         leaving = EndpointId("runner-1")
-        view.leaving.note(endpoint=leaving)
+        view.leaving.record(endpoint=leaving)
         await fleet.add_runner("runner-3")
         await until(lambda: len(view.entries) == 3)
         answer = await fleet.call("/unsafe/", router=ASKING)
