--- a/dotterelpaddle/forwarding/leaving.py
+++ b/dotterelpaddle/forwarding/leaving.py
@@ -75,7 +75,7 @@
         """Note that an answer said that its endpoint leaves."""
         self._take_in(endpoint, _Heard(at=self._clock()), told_by="endpoint")
 
-    def hear(self, *, notes: Iterable[LeavingNotice]) -> None:
+    def receive(self, *, notes: Iterable[LeavingNotice]) -> None:
         """Take in what another router told."""
         now = self._clock()
         for note in notes:
--- a/dotterelpaddle/peers/exchange.py
+++ b/dotterelpaddle/peers/exchange.py
@@ -294,7 +294,7 @@
         origin = self._origin(report=report)
         self._caches.hear(uses=report.uses, pass_on=origin)
         self._crashes.hear(notes=report.crashes, pass_on=origin is not None)
-        self._view.leaving.hear(notes=report.leaving_endpoints)
+        self._view.leaving.receive(notes=report.leaving_endpoints)
         if report.evacuated is not None:
             self._view.evacuations.apply_snapshot(told=report.evacuated)
         return not known or report.ask is Ask.ANSWER
