--- a/dotterelpaddle/forwarding/leaving.py
+++ b/dotterelpaddle/forwarding/leaving.py
@@ -82,7 +82,9 @@
             heard = _Heard(at=now - note.age)
             self._take_in(note.endpoint, heard, told_by="router")
 
-    def without(self, *, entries: Iterable[EndpointEntry]) -> tuple[EndpointEntry, ...]:
+    def exclude_leaving(
+        self, *, entries: Iterable[EndpointEntry]
+    ) -> tuple[EndpointEntry, ...]:
         """Leave out the endpoints that leave."""
         if not self._heard:
             return tuple(entries)
--- a/dotterelpaddle/forwarding/view.py
+++ b/dotterelpaddle/forwarding/view.py
@@ -205,7 +205,9 @@
 
     def ready(self, *, service: ServiceName) -> tuple[EndpointEntry, ...]:
         """Endpoints of a service that take new work, as far as anybody has heard."""
-        staying = self._leaving.without(entries=self.registered(service=service))
+        staying = self._leaving.exclude_leaving(
+            entries=self.registered(service=service)
+        )
         return self._evacuations.exclude_evacuated(entries=staying)
 
     def last_resort(self, *, service: ServiceName) -> tuple[EndpointEntry, ...]:
@@ -216,7 +218,7 @@
         gone = self._removed.still_serving(service=service)
         leaving = self._leaving.still_serving(entries=self.registered(service=service))
         return self._evacuations.exclude_evacuated(
-            entries=(*self._leaving.without(entries=gone), *leaving)
+            entries=(*self._leaving.exclude_leaving(entries=gone), *leaving)
         )
 
     def note_platform_recovery(self) -> None:
