--- a/dotterelpaddle/forwarding/leaving.py
+++ b/dotterelpaddle/forwarding/leaving.py
@@ -102,7 +102,7 @@
             and heard.at > since
         )
 
-    def news(self) -> tuple[LeavingNotice, ...]:
+    def take_due_notices(self) -> tuple[LeavingNotice, ...]:
         """What to tell in the next report, the latest first."""
         now = self._clock()
         self._forget(now=now)
--- a/dotterelpaddle/peers/exchange.py
+++ b/dotterelpaddle/peers/exchange.py
@@ -146,7 +146,7 @@
         base = replace(
             self._report(control=control, names=self._names() if names_due else ()),
             crashes=tuple(self._crashes.news()),
-            leaving_endpoints=self._view.leaving.news(),
+            leaving_endpoints=self._view.leaving.take_due_notices(),
         )
         uses = {origin: self._caches.news(origin=origin) for origin in Origin}
         written: dict[tuple[Scope, Ask], bytes] = {}
--- a/dotterelpaddle/tests/forwarding/test_leaving.py
+++ b/dotterelpaddle/tests/forwarding/test_leaving.py
@@ -173,11 +173,11 @@
 def test_others_are_told_a_few_times_and_again_later(world: World) -> None:
     """Guards against routers behind a cut that never hear of it."""
     world.answer("a", leaving=True)
-    told = [len(world.leaving.news()) for _ in range(TIMES_TOLD + 1)]
+    told = [len(world.leaving.take_due_notices()) for _ in range(TIMES_TOLD + 1)]
     assert told == [1] * TIMES_TOLD + [0]
     world.now += RESEND_INTERVAL_SECONDS
 
-    assert world.leaving.news() == (
+    assert world.leaving.take_due_notices() == (
         LeavingNotice(endpoint=EndpointId("a"), age=RESEND_INTERVAL_SECONDS),
     )
 
@@ -188,7 +188,7 @@
         world.answer(name, leaving=True)
     told = set()
     for _ in range(3 * TIMES_TOLD):
-        news = world.leaving.news()
+        news = world.leaving.take_due_notices()
         assert len(news) <= MAX_NOTICES_PER_REPORT
         told |= {note.endpoint for note in news}
 
@@ -198,7 +198,7 @@
 def test_it_is_forgotten_long_after_the_endpoint_is_gone(world: World) -> None:
     world.answer("a", leaving=True)
     world.now += RETENTION_SECONDS + 1.0
-    world.leaving.news()
+    world.leaving.take_due_notices()
 
     assert EndpointId("a") not in world.leaving
 
