--- a/dotterelpaddle/forwarding/client.py
+++ b/dotterelpaddle/forwarding/client.py
@@ -209,7 +209,7 @@
                 status=response.status, headers=response.headers
             )
             _check_answers(head=head, call=call, reused=connection.reused)
-            self._notices.heed(
+            self._notices.process(
                 endpoint=call.entry.endpoint,
                 head=head,
                 request_id=call.request.request_id,
--- a/dotterelpaddle/forwarding/notices.py
+++ b/dotterelpaddle/forwarding/notices.py
@@ -28,7 +28,7 @@
         self._leaving = leaving
         self._quiet = quiet
 
-    def heed(
+    def process(
         self, *, endpoint: EndpointId, head: AnswerHead, request_id: RequestId
     ) -> None:
         """Take in the head of an answer that is this start's own, whatever it says."""
