--- a/dotterelpaddle/forwarding/quiet.py
+++ b/dotterelpaddle/forwarding/quiet.py
@@ -15,7 +15,7 @@
 
 log = get_logger(name=__name__)
 
-LONGEST_QUIET = 300.0
+MAX_BACKOFF_SECONDS = 300.0
 """Seconds for which an endpoint is left alone at most, whatever it asks for: an absurd
 time would take it out of service for good."""
 
@@ -33,7 +33,7 @@
 
     def note(self, *, endpoint: EndpointId, seconds: float) -> None:
         """Note that an endpoint asks for quiet from now on."""
-        bounded = min(seconds, LONGEST_QUIET)
+        bounded = min(seconds, MAX_BACKOFF_SECONDS)
         until = self._clock() + bounded
         self._until[endpoint] = max(until, self._until.get(endpoint, until))
         log.info(
--- a/dotterelpaddle/tests/forwarding/test_leaving.py
+++ b/dotterelpaddle/tests/forwarding/test_leaving.py
@@ -17,7 +17,7 @@
 )
 from dotterelpaddle.forwarding.model import EndpointEntry, EndpointState, endpoint_id
 from dotterelpaddle.forwarding.notices import EndpointNotices
-from dotterelpaddle.forwarding.quiet import LONGEST_QUIET, QuietEndpoints
+from dotterelpaddle.forwarding.quiet import MAX_BACKOFF_SECONDS, QuietEndpoints
 from dotterelpaddle.forwarding.telling import TIMES_TOLD
 from dotterelpaddle.forwarding.view import FleetView
 from dotterelpaddle.ids import (
@@ -230,7 +230,7 @@
 def test_absurd_time_is_bounded(world: World) -> None:
     """Guards against an endpoint that a wrong number takes out of service for good."""
     world.answer("a", status=503, retry_after=float("inf"))
-    world.now += LONGEST_QUIET
+    world.now += MAX_BACKOFF_SECONDS
 
     assert not world.quiet.is_quiet(endpoint=EndpointId("a"))
 
