--- a/dotterelpaddle/forwarding/candidates.py
+++ b/dotterelpaddle/forwarding/candidates.py
@@ -12,7 +12,7 @@
     from dotterelpaddle.forwarding.health import HealthBook
     from dotterelpaddle.forwarding.interface import HasPrompt
     from dotterelpaddle.forwarding.model import EndpointEntry
-    from dotterelpaddle.forwarding.quiet import QuietEndpoints
+    from dotterelpaddle.forwarding.quiet import EndpointBackoffs
     from dotterelpaddle.forwarding.reachability import Reachability
     from dotterelpaddle.forwarding.view import FleetView
     from dotterelpaddle.ids import EndpointId, ServiceName
@@ -43,7 +43,7 @@
         view: FleetView,
         health: HealthBook,
         reachability: Reachability,
-        quiet: QuietEndpoints,
+        quiet: EndpointBackoffs,
     ) -> None:
         self._view = view
         self._health = health
--- a/dotterelpaddle/forwarding/notices.py
+++ b/dotterelpaddle/forwarding/notices.py
@@ -10,7 +10,7 @@
 if TYPE_CHECKING:
     from dotterelpaddle.forwarding.interface import AnswerHead
     from dotterelpaddle.forwarding.leaving import LeavingEndpoints
-    from dotterelpaddle.forwarding.quiet import QuietEndpoints
+    from dotterelpaddle.forwarding.quiet import EndpointBackoffs
     from dotterelpaddle.ids import EndpointId, RequestId
 
 log = get_logger(name=__name__)
@@ -24,7 +24,7 @@
         quiet: Endpoints that want nothing from this router for a while.
     """
 
-    def __init__(self, *, leaving: LeavingEndpoints, quiet: QuietEndpoints) -> None:
+    def __init__(self, *, leaving: LeavingEndpoints, quiet: EndpointBackoffs) -> None:
         self._leaving = leaving
         self._quiet = quiet
 
--- a/dotterelpaddle/forwarding/parts.py
+++ b/dotterelpaddle/forwarding/parts.py
@@ -23,7 +23,7 @@
 from dotterelpaddle.forwarding.metrics import ForwardMetrics, MetricsPage, Observed
 from dotterelpaddle.forwarding.notices import EndpointNotices
 from dotterelpaddle.forwarding.placement import ForwardPlacer
-from dotterelpaddle.forwarding.quiet import QuietEndpoints
+from dotterelpaddle.forwarding.quiet import EndpointBackoffs
 from dotterelpaddle.forwarding.reachability import Reachability
 from dotterelpaddle.forwarding.repeats import SharedRepeats
 from dotterelpaddle.forwarding.residency import Residency
@@ -103,7 +103,7 @@
     loads: LoadBook
     health: HealthBook
     signs: EndpointSigns
-    quiet: QuietEndpoints
+    quiet: EndpointBackoffs
     cold: ColdEndpoints
     caches: CacheMap
     crashes: CrashBook
@@ -358,7 +358,7 @@
         loads=LoadBook(shares=shares),
         health=HealthBook(clock=clock),
         signs=EndpointSigns(clock=clock),
-        quiet=QuietEndpoints(clock=clock),
+        quiet=EndpointBackoffs(clock=clock),
         cold=ColdEndpoints(
             router=settings.router,
             bounds=settings.cold_bounds,
--- a/dotterelpaddle/forwarding/placement.py
+++ b/dotterelpaddle/forwarding/placement.py
@@ -34,7 +34,7 @@
     from dotterelpaddle.forwarding.interface import HasPrompt
     from dotterelpaddle.forwarding.loads import LoadBook
     from dotterelpaddle.forwarding.model import EndpointEntry
-    from dotterelpaddle.forwarding.quiet import QuietEndpoints
+    from dotterelpaddle.forwarding.quiet import EndpointBackoffs
     from dotterelpaddle.forwarding.reachability import Reachability
     from dotterelpaddle.forwarding.view import FleetView
     from dotterelpaddle.ids import EndpointId, FailureDomain, ServiceName
@@ -90,7 +90,7 @@
         loads: LoadBook,
         health: HealthBook,
         reachability: Reachability,
-        quiet: QuietEndpoints,
+        quiet: EndpointBackoffs,
         cold: ColdEndpoints,
         caches: CacheMap,
         failure_domain: FailureDomain,
--- a/dotterelpaddle/forwarding/quiet.py
+++ b/dotterelpaddle/forwarding/quiet.py
@@ -20,7 +20,7 @@
 time would take it out of service for good."""
 
 
-class QuietEndpoints:
+class EndpointBackoffs:
     """Remembers until when endpoints want nothing from this router.
 
     Args:
--- a/dotterelpaddle/peers/cache_lists.py
+++ b/dotterelpaddle/peers/cache_lists.py
@@ -21,7 +21,7 @@
     from dotterelpaddle.forwarding.caches import CacheMap
     from dotterelpaddle.forwarding.interface import CacheReader
     from dotterelpaddle.forwarding.model import EndpointEntry
-    from dotterelpaddle.forwarding.quiet import QuietEndpoints
+    from dotterelpaddle.forwarding.quiet import EndpointBackoffs
     from dotterelpaddle.forwarding.view import FleetView
     from dotterelpaddle.ids import FailureDomain
     from dotterelpaddle.owners.shards import ShardMap
@@ -104,7 +104,7 @@
         caches: CacheMap,
         word: PeersWord,
         shards: ShardMap,
-        quiet: QuietEndpoints,
+        quiet: EndpointBackoffs,
         reader: CacheReader,
         failure_domain: FailureDomain,
         clock: Clock,
--- a/dotterelpaddle/tests/forwarding/test_cold.py
+++ b/dotterelpaddle/tests/forwarding/test_cold.py
@@ -33,7 +33,7 @@
     SlowStart,
 )
 from dotterelpaddle.forwarding.placement import ForwardPlacer
-from dotterelpaddle.forwarding.quiet import QuietEndpoints
+from dotterelpaddle.forwarding.quiet import EndpointBackoffs
 from dotterelpaddle.forwarding.reachability import Reachability
 from dotterelpaddle.forwarding.settings import ColdBounds
 from dotterelpaddle.forwarding.shares import Share, ShareBook
@@ -110,7 +110,7 @@
                 failure_domain=HERE,
                 clock=self._clock,
             ),
-            quiet=QuietEndpoints(clock=self._clock),
+            quiet=EndpointBackoffs(clock=self._clock),
             cold=self.cold,
             caches=CacheMap(clock=self._clock),
             failure_domain=HERE,
--- a/dotterelpaddle/tests/forwarding/test_herding.py
+++ b/dotterelpaddle/tests/forwarding/test_herding.py
@@ -20,7 +20,7 @@
 from dotterelpaddle.forwarding.interface import EndpointsUpdate
 from dotterelpaddle.forwarding.loads import LoadBook
 from dotterelpaddle.forwarding.placement import ForwardPlacer
-from dotterelpaddle.forwarding.quiet import QuietEndpoints
+from dotterelpaddle.forwarding.quiet import EndpointBackoffs
 from dotterelpaddle.forwarding.reachability import Reachability
 from dotterelpaddle.forwarding.shares import Scope, Share, ShareBook
 from dotterelpaddle.forwarding.view import FleetView
@@ -73,7 +73,7 @@
             failure_domain=HERE,
             clock=lambda: 0.0,
         ),
-        quiet=QuietEndpoints(clock=lambda: 0.0),
+        quiet=EndpointBackoffs(clock=lambda: 0.0),
         cold=no_cold_bounds(view=view),
         caches=caches,
         failure_domain=HERE,
--- a/dotterelpaddle/tests/forwarding/test_leaving.py
+++ b/dotterelpaddle/tests/forwarding/test_leaving.py
@@ -17,7 +17,7 @@
 )
 from dotterelpaddle.forwarding.model import EndpointEntry, EndpointState, endpoint_id
 from dotterelpaddle.forwarding.notices import EndpointNotices
-from dotterelpaddle.forwarding.quiet import MAX_BACKOFF_SECONDS, QuietEndpoints
+from dotterelpaddle.forwarding.quiet import MAX_BACKOFF_SECONDS, EndpointBackoffs
 from dotterelpaddle.forwarding.telling import TIMES_TOLD
 from dotterelpaddle.forwarding.view import FleetView
 from dotterelpaddle.ids import (
@@ -49,7 +49,7 @@
     def __init__(self) -> None:
         self.now = 100.0
         self.leaving = LeavingEndpoints(clock=self.clock, serve_time=SERVE_TIME)
-        self.quiet = QuietEndpoints(clock=self.clock)
+        self.quiet = EndpointBackoffs(clock=self.clock)
         self.view = FleetView(clock=self.clock, leaving=self.leaving)
         self.take(make_entry("a"), make_entry("b"), revision=1)
 
--- a/dotterelpaddle/tests/forwarding/test_placement.py
+++ b/dotterelpaddle/tests/forwarding/test_placement.py
@@ -26,7 +26,7 @@
 from dotterelpaddle.forwarding.loads import LoadBook
 from dotterelpaddle.forwarding.model import EndpointEntry, EndpointState
 from dotterelpaddle.forwarding.placement import ForwardPlacer
-from dotterelpaddle.forwarding.quiet import QuietEndpoints
+from dotterelpaddle.forwarding.quiet import EndpointBackoffs
 from dotterelpaddle.forwarding.reachability import Reachability
 from dotterelpaddle.forwarding.shares import FRESH_TIME, Share, ShareBook
 from dotterelpaddle.forwarding.view import FleetView
@@ -84,7 +84,7 @@
             loads=loads,
             health=health,
             reachability=reachability,
-            quiet=QuietEndpoints(clock=lambda: 100.0),
+            quiet=EndpointBackoffs(clock=lambda: 100.0),
             cold=no_cold_bounds(view=view),
             caches=caches,
             failure_domain=HERE,
--- a/dotterelpaddle/tests/owners/world.py
+++ b/dotterelpaddle/tests/owners/world.py
@@ -12,7 +12,7 @@
 from dotterelpaddle.forwarding.interface import EndpointsUpdate
 from dotterelpaddle.forwarding.loads import LoadBook
 from dotterelpaddle.forwarding.placement import ForwardPlacer
-from dotterelpaddle.forwarding.quiet import QuietEndpoints
+from dotterelpaddle.forwarding.quiet import EndpointBackoffs
 from dotterelpaddle.forwarding.reachability import Reachability
 from dotterelpaddle.forwarding.shares import ShareBook
 from dotterelpaddle.forwarding.view import FleetView
@@ -90,7 +90,7 @@
                     failure_domain=HERE,
                     clock=self.clock,
                 ),
-                quiet=QuietEndpoints(clock=self.clock),
+                quiet=EndpointBackoffs(clock=self.clock),
                 cold=no_cold_bounds(view=self.view),
                 caches=self.caches,
                 failure_domain=HERE,
--- a/dotterelpaddle/tests/peers/test_cache_lists.py
+++ b/dotterelpaddle/tests/peers/test_cache_lists.py
@@ -10,7 +10,7 @@
 
 from dotterelpaddle.forwarding.caches import CacheMap
 from dotterelpaddle.forwarding.interface import CachedParts, EndpointsUpdate
-from dotterelpaddle.forwarding.quiet import QuietEndpoints
+from dotterelpaddle.forwarding.quiet import EndpointBackoffs
 from dotterelpaddle.forwarding.view import FleetView
 from dotterelpaddle.ids import EndpointId, FailureDomain, ModelId, Revision
 from dotterelpaddle.owners.shards import ShardMap
@@ -63,7 +63,7 @@
         )
         self.caches = CacheMap(clock=lambda: self.now)
         self.word = SimpleNamespace(reads_first=first, owns=None)
-        self.quiet = QuietEndpoints(clock=lambda: self.now)
+        self.quiet = EndpointBackoffs(clock=lambda: self.now)
         self.lists = CacheLists(
             view=self.view,
             caches=self.caches,
