--- a/dotterelpaddle/forwarding/notices.py
+++ b/dotterelpaddle/forwarding/notices.py
@@ -44,4 +44,4 @@
         if head.leaving:
             self._leaving.record(endpoint=endpoint)
         if head.retry_after is not None and head.status in PROMISES:
-            self._quiet.note(endpoint=endpoint, seconds=head.retry_after)
+            self._quiet.record(endpoint=endpoint, seconds=head.retry_after)
--- a/dotterelpaddle/forwarding/quiet.py
+++ b/dotterelpaddle/forwarding/quiet.py
@@ -31,7 +31,7 @@
         self._clock = clock
         self._until: dict[EndpointId, float] = {}
 
-    def note(self, *, endpoint: EndpointId, seconds: float) -> None:
+    def record(self, *, endpoint: EndpointId, seconds: float) -> None:
         """Note that an endpoint asks for quiet from now on."""
         bounded = min(seconds, MAX_BACKOFF_SECONDS)
         until = self._clock() + bounded
--- a/dotterelpaddle/tests/peers/test_cache_lists.py
+++ b/dotterelpaddle/tests/peers/test_cache_lists.py
@@ -166,7 +166,7 @@
 async def test_engine_that_wants_quiet_is_not_asked() -> None:
     world = World(engines=3, first=True)
     quiet = EndpointId("engine-1")
-    world.quiet.note(endpoint=quiet, seconds=5.0)
+    world.quiet.record(endpoint=quiet, seconds=5.0)
     await world.look(ALONE_AFTER)
 
     assert world.asked == {"engine-0", "engine-2"}
