--- a/dotterelpaddle/forwarding/candidates.py
+++ b/dotterelpaddle/forwarding/candidates.py
@@ -71,7 +71,7 @@
             for entry in self._view.ready(service=service)
             if serves(entry=entry, request=request)
             and not self._health.is_gone(endpoint=entry.endpoint)
-            and not self._quiet.is_quiet(endpoint=entry.endpoint)
+            and not self._quiet.is_backing_off(endpoint=entry.endpoint)
         ]
 
     def any_left(
@@ -97,7 +97,7 @@
             for entry in self._view.last_resort(service=service)
             if entry.endpoint not in excluded
             and serves(entry=entry, request=request)
-            and not self._quiet.is_quiet(endpoint=entry.endpoint)
+            and not self._quiet.is_backing_off(endpoint=entry.endpoint)
         ]
         for entries_left in (reachable, fresh, last):
             remaining = self._reachability.possibly_reachable(entries=entries_left)
--- a/dotterelpaddle/forwarding/quiet.py
+++ b/dotterelpaddle/forwarding/quiet.py
@@ -40,7 +40,7 @@
             "endpoint_quiet", endpoint=endpoint, seconds=bounded, asked_for=seconds
         )
 
-    def is_quiet(self, *, endpoint: EndpointId) -> bool:
+    def is_backing_off(self, *, endpoint: EndpointId) -> bool:
         """Tell whether an endpoint wants nothing now."""
         until = self._until.get(endpoint)
         return until is not None and until > self._clock()
--- a/dotterelpaddle/peers/cache_lists.py
+++ b/dotterelpaddle/peers/cache_lists.py
@@ -166,7 +166,7 @@
         self._caches.mark_known()
 
     async def _read_one(self, entry: EndpointEntry) -> None:
-        if self._quiet.is_quiet(endpoint=entry.endpoint):
+        if self._quiet.is_backing_off(endpoint=entry.endpoint):
             log.info("cache_unread", endpoint=entry.endpoint, cause="it wants quiet")
             return
         try:
--- a/dotterelpaddle/tests/forwarding/test_leaving.py
+++ b/dotterelpaddle/tests/forwarding/test_leaving.py
@@ -206,17 +206,17 @@
 @pytest.mark.parametrize("status", [429, 503])
 def test_refusal_with_a_time_asks_for_quiet(world: World, status: int) -> None:
     world.answer("a", status=status, not_executed=True, retry_after=4.0)
-    assert world.quiet.is_quiet(endpoint=EndpointId("a"))
-    assert not world.quiet.is_quiet(endpoint=EndpointId("b"))
+    assert world.quiet.is_backing_off(endpoint=EndpointId("a"))
+    assert not world.quiet.is_backing_off(endpoint=EndpointId("b"))
     world.now += 4.0
 
-    assert not world.quiet.is_quiet(endpoint=EndpointId("a"))
+    assert not world.quiet.is_backing_off(endpoint=EndpointId("a"))
 
 
 def test_time_of_a_success_asks_for_no_quiet(world: World) -> None:
     world.answer("a", retry_after=4.0)
 
-    assert not world.quiet.is_quiet(endpoint=EndpointId("a"))
+    assert not world.quiet.is_backing_off(endpoint=EndpointId("a"))
 
 
 def test_shorter_time_does_not_end_a_longer_one(world: World) -> None:
@@ -224,7 +224,7 @@
     world.answer("a", status=503, retry_after=1.0)
     world.now += 2.0
 
-    assert world.quiet.is_quiet(endpoint=EndpointId("a"))
+    assert world.quiet.is_backing_off(endpoint=EndpointId("a"))
 
 
 def test_absurd_time_is_bounded(world: World) -> None:
@@ -232,7 +232,7 @@
     world.answer("a", status=503, retry_after=float("inf"))
     world.now += MAX_BACKOFF_SECONDS
 
-    assert not world.quiet.is_quiet(endpoint=EndpointId("a"))
+    assert not world.quiet.is_backing_off(endpoint=EndpointId("a"))
 
 
 def test_first_end_of_quiet_is_found(world: World) -> None:
