--- a/dotterelpaddle/forwarding/candidates.py
+++ b/dotterelpaddle/forwarding/candidates.py
@@ -120,7 +120,7 @@
         listed = self._view.registered(service=service)
         if listed and not self._view.evacuations.exclude_evacuated(entries=listed):
             return EVACUATED_WAIT
-        quiet = self._quiet.shortest(entries=self._view.ready(service=service))
+        quiet = self._quiet.shortest_wait(entries=self._view.ready(service=service))
         return NO_ENDPOINT_WAIT if fresh or quiet is None else quiet
 
     def _fresh(
--- a/dotterelpaddle/forwarding/quiet.py
+++ b/dotterelpaddle/forwarding/quiet.py
@@ -45,7 +45,7 @@
         until = self._until.get(endpoint)
         return until is not None and until > self._clock()
 
-    def shortest(self, *, entries: Iterable[EndpointEntry]) -> float | None:
+    def shortest_wait(self, *, entries: Iterable[EndpointEntry]) -> float | None:
         """Seconds until the first of some endpoints may be asked, None if all may."""
         now = self._clock()
         untils = [self._until.get(entry.endpoint, 0.0) for entry in entries]
--- a/dotterelpaddle/tests/forwarding/test_leaving.py
+++ b/dotterelpaddle/tests/forwarding/test_leaving.py
@@ -237,8 +237,8 @@
 
 def test_first_end_of_quiet_is_found(world: World) -> None:
     entries = [make_entry("a"), make_entry("b")]
-    assert world.quiet.shortest(entries=entries) is None
+    assert world.quiet.shortest_wait(entries=entries) is None
     world.answer("a", status=503, retry_after=4.0)
     world.answer("b", status=503, retry_after=3.0)
 
-    assert world.quiet.shortest(entries=entries) == 3.0
+    assert world.quiet.shortest_wait(entries=entries) == 3.0
