--- a/dotterelpaddle/forwarding/quiet.py
+++ b/dotterelpaddle/forwarding/quiet.py
@@ -51,7 +51,7 @@
         untils = [self._until.get(entry.endpoint, 0.0) for entry in entries]
         return min((until - now for until in untils if until > now), default=None)
 
-    def keep(self, *, endpoints: frozenset[EndpointId]) -> None:
+    def retain(self, *, endpoints: frozenset[EndpointId]) -> None:
         """Forget all endpoints but some."""
         for endpoint in self._until.keys() - endpoints:
             del self._until[endpoint]
--- a/dotterelpaddle/forwarding/router.py
+++ b/dotterelpaddle/forwarding/router.py
@@ -132,5 +132,5 @@
         known = frozenset(entry.endpoint for entry in knowledge.view.entries)
         knowledge.health.keep(endpoints=known)
         knowledge.signs.keep(endpoints=known)
-        knowledge.quiet.keep(endpoints=known)
+        knowledge.quiet.retain(endpoints=known)
         knowledge.cold.keep(endpoints=known)
