--- a/dotterelpaddle/forwarding/health.py
+++ b/dotterelpaddle/forwarding/health.py
@@ -19,7 +19,7 @@
 
 log = get_logger(name=__name__)
 
-FIRST_EJECTION = 1.0
+MIN_EJECTION_SECONDS = 1.0
 """Seconds that an endpoint is passed over after its first hard failure.
 
 A dead endpoint stays listed for three heartbeats, about four seconds; a few
@@ -113,7 +113,7 @@
         now = self._clock()
         if record.ejected_until > now:
             return
-        seconds = min(FIRST_EJECTION * 2**record.hard_failures, LONGEST_EJECTION)
+        seconds = min(MIN_EJECTION_SECONDS * 2**record.hard_failures, LONGEST_EJECTION)
         record.hard_failures += 1
         record.ejected_at = now
         record.ejected_until = now + seconds
--- a/dotterelpaddle/tests/forwarding/test_health.py
+++ b/dotterelpaddle/tests/forwarding/test_health.py
@@ -7,8 +7,8 @@
 from __future__ import annotations
 
 from dotterelpaddle.forwarding.health import (
-    FIRST_EJECTION,
     IN_TRANSIT_TIME,
+    MIN_EJECTION_SECONDS,
     HealthBook,
 )
 from dotterelpaddle.tests.forwarding.entries import make_entry
@@ -31,7 +31,7 @@
     world = World()
     world.health.failed_hard(entry=ENTRIES[0], cause="broke off")
     at_once = world.usable()
-    world.now = FIRST_EJECTION
+    world.now = MIN_EJECTION_SECONDS
     later = world.usable()
 
     assert (at_once, later) == (4, 5)
--- a/dotterelpaddle/tests/forwarding/test_placement.py
+++ b/dotterelpaddle/tests/forwarding/test_placement.py
@@ -14,7 +14,7 @@
 from dotterelpaddle.forwarding.caches import CacheMap
 from dotterelpaddle.forwarding.choice import Choice, ChoiceReason
 from dotterelpaddle.forwarding.health import (
-    FIRST_EJECTION,
+    MIN_EJECTION_SECONDS,
     MIN_RESULTS,
     HealthBook,
 )
@@ -289,7 +289,7 @@
     world = World(endpoints=(A, B))
     world.parts.health.failed_hard(entry=world.entry(A), cause="broke off")
     chosen = {world.choose().entry.endpoint for _ in range(10)}
-    world.now += FIRST_EJECTION + 0.1
+    world.now += MIN_EJECTION_SECONDS + 0.1
     world.load(a=0, b=5)
 
     assert chosen == {B}
