--- a/dotterelpaddle/forwarding/health.py
+++ b/dotterelpaddle/forwarding/health.py
@@ -26,7 +26,7 @@
 trials in that time cost a few requests a retry.
 """
 
-LONGEST_EJECTION = 4.0
+MAX_EJECTION_SECONDS = 4.0
 """Seconds that an endpoint is passed over at most, before it is tried again."""
 
 IN_TRANSIT_TIME = 0.05
@@ -113,7 +113,9 @@
         now = self._clock()
         if record.ejected_until > now:
             return
-        seconds = min(MIN_EJECTION_SECONDS * 2**record.hard_failures, LONGEST_EJECTION)
+        seconds = min(
+            MIN_EJECTION_SECONDS * 2**record.hard_failures, MAX_EJECTION_SECONDS
+        )
         record.hard_failures += 1
         record.ejected_at = now
         record.ejected_until = now + seconds
