--- a/dotterelpaddle/forwarding/health.py
+++ b/dotterelpaddle/forwarding/health.py
@@ -29,7 +29,7 @@
 MAX_EJECTION_SECONDS = 4.0
 """Seconds that an endpoint is passed over at most, before it is tried again."""
 
-IN_TRANSIT_TIME = 0.05
+IN_TRANSIT_SECONDS = 0.05
 """Seconds after an endpoint broke off from which a whole answer shows that it lives:
 what it sent before it died is there within some milliseconds. One that loses a fifth
 of its answers brings the next one by then and keeps its share of the load; all such
@@ -93,7 +93,7 @@
         record = self._record(endpoint)
         self._smooth(record, failed=False)
         lives = record.broke_off and self._clock() >= (
-            record.ejected_at + IN_TRANSIT_TIME
+            record.ejected_at + IN_TRANSIT_SECONDS
         )
         if lives or begun_at >= record.ejected_at:
             record.hard_failures = 0
--- a/dotterelpaddle/tests/forwarding/test_health.py
+++ b/dotterelpaddle/tests/forwarding/test_health.py
@@ -7,7 +7,7 @@
 from __future__ import annotations
 
 from dotterelpaddle.forwarding.health import (
-    IN_TRANSIT_TIME,
+    IN_TRANSIT_SECONDS,
     MIN_EJECTION_SECONDS,
     HealthBook,
 )
@@ -54,7 +54,7 @@
 def test_answer_that_was_under_way_when_its_endpoint_died_says_nothing() -> None:
     world = World()
     world.health.failed_hard(entry=ENTRIES[0], cause="the connection broke")
-    world.now = IN_TRANSIT_TIME / 2
+    world.now = IN_TRANSIT_SECONDS / 2
     world.health.succeeded(endpoint=ENTRIES[0].endpoint, begun_at=-0.1)
 
     assert world.usable() == 4
@@ -64,7 +64,7 @@
     world = World()
     world.health.was_silent(entry=ENTRIES[0])
     world.health.was_silent(entry=ENTRIES[0])
-    world.now = 2 * IN_TRANSIT_TIME
+    world.now = 2 * IN_TRANSIT_SECONDS
     world.health.succeeded(endpoint=ENTRIES[0].endpoint, begun_at=-0.1)
 
     assert world.usable() == 4
