--- a/dotterelpaddle/forwarding/health.py
+++ b/dotterelpaddle/forwarding/health.py
@@ -35,7 +35,7 @@
 of its answers brings the next one by then and keeps its share of the load; all such
 endpoints passed over at once leave the load of a service to the few others."""
 
-SILENCE_MEMORY = 3.0
+TIMEOUT_MEMORY_SECONDS = 3.0
 """Seconds within which a second silent request means more than a long queue."""
 
 ERROR_EJECTION = 2.0
@@ -133,7 +133,7 @@
         """Note an endpoint that was given up on; one that is slow once stays."""
         record = self._record(entry.endpoint)
         now = self._clock()
-        repeated = now - record.silent_at < SILENCE_MEMORY
+        repeated = now - record.silent_at < TIMEOUT_MEMORY_SECONDS
         record.silent_at = now
         if repeated:
             self._eject(entry=entry, cause="silent again and again", broke_off=False)
