--- a/dotterelpaddle/forwarding/health.py
+++ b/dotterelpaddle/forwarding/health.py
@@ -38,7 +38,7 @@
 TIMEOUT_MEMORY_SECONDS = 3.0
 """Seconds within which a second silent request means more than a long queue."""
 
-ERROR_EJECTION = 2.0
+ERROR_EJECTION_SECONDS = 2.0
 """Seconds that an endpoint is passed over for a high share of failed answers."""
 
 ERROR_WEIGHT = 0.15
@@ -185,7 +185,7 @@
             record = self._record(entry.endpoint)
             # Its share starts afresh, so that it is judged anew when tried again.
             record.ejected_at = self._clock()
-            record.ejected_until = record.ejected_at + ERROR_EJECTION
+            record.ejected_until = record.ejected_at + ERROR_EJECTION_SECONDS
             record.broke_off = False
             record.error_share = HIGH_ERROR_SHARE / 2
             record.results = 0
@@ -195,7 +195,7 @@
                 service=entry.service,
                 cause="failed answers",
                 share=round(share, 3),
-                seconds=ERROR_EJECTION,
+                seconds=ERROR_EJECTION_SECONDS,
             )
         return kept
 
