--- a/dotterelpaddle/forwarding/health.py
+++ b/dotterelpaddle/forwarding/health.py
@@ -41,7 +41,7 @@
 ERROR_EJECTION_SECONDS = 2.0
 """Seconds that an endpoint is passed over for a high share of failed answers."""
 
-ERROR_WEIGHT = 0.15
+ERROR_SMOOTHING_FACTOR = 0.15
 """Weight of one result in the smoothed share of failed answers."""
 
 HIGH_ERROR_SHARE = 0.35
@@ -207,7 +207,9 @@
 
     def _smooth(self, record: _Record, *, failed: bool) -> None:
         record.results += 1
-        record.error_share += ERROR_WEIGHT * (float(failed) - record.error_share)
+        record.error_share += ERROR_SMOOTHING_FACTOR * (
+            float(failed) - record.error_share
+        )
 
     def _record(self, endpoint: EndpointId) -> _Record:
         return self._records.setdefault(endpoint, _Record())
