--- a/dotterelpaddle/forwarding/health.py
+++ b/dotterelpaddle/forwarding/health.py
@@ -44,7 +44,7 @@
 ERROR_SMOOTHING_FACTOR = 0.15
 """Weight of one result in the smoothed share of failed answers."""
 
-HIGH_ERROR_SHARE = 0.35
+HIGH_ERROR_RATE = 0.35
 """Smoothed share of failed answers from which an endpoint is passed over.
 
 Some services fail up to a seventh of their requests when all is well.
@@ -174,9 +174,9 @@
     def _without_failing(self, entries: list[EndpointEntry]) -> list[EndpointEntry]:
         """Leave out endpoints that fail far more often than their service does."""
         shares = [self._proven_share(entry.endpoint) for entry in entries]
-        if not shares or max(shares) < HIGH_ERROR_SHARE:
+        if not shares or max(shares) < HIGH_ERROR_RATE:
             return entries
-        bound = max(HIGH_ERROR_SHARE, HIGH_ERROR_RATIO * sum(shares) / len(shares))
+        bound = max(HIGH_ERROR_RATE, HIGH_ERROR_RATIO * sum(shares) / len(shares))
         kept = []
         for entry, share in zip(entries, shares, strict=True):
             if share < bound:
@@ -187,7 +187,7 @@
             record.ejected_at = self._clock()
             record.ejected_until = record.ejected_at + ERROR_EJECTION_SECONDS
             record.broke_off = False
-            record.error_share = HIGH_ERROR_SHARE / 2
+            record.error_share = HIGH_ERROR_RATE / 2
             record.results = 0
             log.warning(
                 "endpoint_ejected",
