--- a/dotterelpaddle/forwarding/health.py
+++ b/dotterelpaddle/forwarding/health.py
@@ -67,7 +67,7 @@
     ejected_until: float = 0.0
     broke_off: bool = False
     silent_at: float = float("-inf")
-    error_share: float = 0.0
+    error_rate: float = 0.0
     results: int = 0
     gone: bool = False
 
@@ -86,7 +86,7 @@
     def error_share(self, *, endpoint: EndpointId) -> float:
         """Smoothed share of an endpoint's requests that failed."""
         record = self._records.get(endpoint)
-        return record.error_share if record is not None else 0.0
+        return record.error_rate if record is not None else 0.0
 
     def succeeded(self, *, endpoint: EndpointId, begun_at: float) -> None:
         """Note a whole answer to a request that was sent at some time."""
@@ -187,7 +187,7 @@
             record.ejected_at = self._clock()
             record.ejected_until = record.ejected_at + ERROR_EJECTION_SECONDS
             record.broke_off = False
-            record.error_share = HIGH_ERROR_RATE / 2
+            record.error_rate = HIGH_ERROR_RATE / 2
             record.results = 0
             log.warning(
                 "endpoint_ejected",
@@ -203,12 +203,12 @@
         record = self._records.get(endpoint)
         if record is None or record.results < MIN_RESULTS:
             return 0.0
-        return record.error_share
+        return record.error_rate
 
     def _smooth(self, record: _Record, *, failed: bool) -> None:
         record.results += 1
-        record.error_share += ERROR_SMOOTHING_FACTOR * (
-            float(failed) - record.error_share
+        record.error_rate += ERROR_SMOOTHING_FACTOR * (
+            float(failed) - record.error_rate
         )
 
     def _record(self, endpoint: EndpointId) -> _Record:
