--- a/dotterelpaddle/forwarding/health.py
+++ b/dotterelpaddle/forwarding/health.py
@@ -66,7 +66,7 @@
     ejected_at: float = 0.0
     ejected_until: float = 0.0
     broke_off: bool = False
-    silent_at: float = float("-inf")
+    timed_out_at: float = float("-inf")
     error_rate: float = 0.0
     results: int = 0
     gone: bool = False
@@ -133,8 +133,8 @@
         """Note an endpoint that was given up on; one that is slow once stays."""
         record = self._record(entry.endpoint)
         now = self._clock()
-        repeated = now - record.silent_at < TIMEOUT_MEMORY_SECONDS
-        record.silent_at = now
+        repeated = now - record.timed_out_at < TIMEOUT_MEMORY_SECONDS
+        record.timed_out_at = now
         if repeated:
             self._eject(entry=entry, cause="silent again and again", broke_off=False)
         else:
