--- a/dotterelpaddle/forwarding/health.py
+++ b/dotterelpaddle/forwarding/health.py
@@ -69,7 +69,7 @@
     timed_out_at: float = float("-inf")
     error_rate: float = 0.0
     results: int = 0
-    gone: bool = False
+    replaced: bool = False
 
 
 class HealthBook:
@@ -142,18 +142,18 @@
 
     def gone(self, *, entry: EndpointEntry) -> None:
         """Note that another endpoint has the address; this one is gone for good."""
-        self._record(entry.endpoint).gone = True
+        self._record(entry.endpoint).replaced = True
         log.warning("endpoint_replaced", endpoint=entry.endpoint)
 
     def is_gone(self, *, endpoint: EndpointId) -> bool:
         """Tell whether another endpoint has an endpoint's address."""
         record = self._records.get(endpoint)
-        return record is not None and record.gone
+        return record is not None and record.replaced
 
     def is_sound(self, *, endpoint: EndpointId) -> bool:
         """Tell whether nothing but whole answers came from an endpoint of late."""
         record = self._records.get(endpoint)
-        return record is None or not (record.gone or record.hard_failures)
+        return record is None or not (record.replaced or record.hard_failures)
 
     def usable(self, *, entries: Iterable[EndpointEntry]) -> list[EndpointEntry]:
         """Return the endpoints that are not passed over."""
