--- a/dotterelpaddle/forwarding/attempts.py
+++ b/dotterelpaddle/forwarding/attempts.py
@@ -35,7 +35,7 @@
     from dotterelpaddle.forwarding.choice import Choice
     from dotterelpaddle.forwarding.crash_guard import CrashGuard
     from dotterelpaddle.forwarding.exchange import ForwardExchange, Result
-    from dotterelpaddle.forwarding.health import HealthBook
+    from dotterelpaddle.forwarding.health import HealthTracker
     from dotterelpaddle.forwarding.loads import LoadBook
     from dotterelpaddle.forwarding.metrics import ForwardMetrics
     from dotterelpaddle.forwarding.reachability import Reachability
@@ -82,7 +82,7 @@
         placer: OwnersPlacer,
         residency: Residency,
         loads: LoadBook,
-        health: HealthBook,
+        health: HealthTracker,
         reachability: Reachability,
         caches: CacheMap,
         guard: CrashGuard,
--- a/dotterelpaddle/forwarding/cached_prompts.py
+++ b/dotterelpaddle/forwarding/cached_prompts.py
@@ -12,7 +12,7 @@
     from collections.abc import Mapping, Sequence
 
     from dotterelpaddle.forwarding.caches import CacheMap
-    from dotterelpaddle.forwarding.health import HealthBook
+    from dotterelpaddle.forwarding.health import HealthTracker
     from dotterelpaddle.forwarding.interface import HasPrompt
     from dotterelpaddle.forwarding.model import EndpointEntry
     from dotterelpaddle.forwarding.reachability import Reachability
@@ -61,7 +61,7 @@
         self,
         *,
         view: FleetView,
-        health: HealthBook,
+        health: HealthTracker,
         reachability: Reachability,
         caches: CacheMap,
     ) -> None:
--- a/dotterelpaddle/forwarding/candidates.py
+++ b/dotterelpaddle/forwarding/candidates.py
@@ -9,7 +9,7 @@
 if TYPE_CHECKING:
     from collections.abc import Sequence
 
-    from dotterelpaddle.forwarding.health import HealthBook
+    from dotterelpaddle.forwarding.health import HealthTracker
     from dotterelpaddle.forwarding.interface import HasPrompt
     from dotterelpaddle.forwarding.model import EndpointEntry
     from dotterelpaddle.forwarding.quiet import EndpointBackoffs
@@ -41,7 +41,7 @@
         self,
         *,
         view: FleetView,
-        health: HealthBook,
+        health: HealthTracker,
         reachability: Reachability,
         quiet: EndpointBackoffs,
     ) -> None:
--- a/dotterelpaddle/forwarding/health.py
+++ b/dotterelpaddle/forwarding/health.py
@@ -72,7 +72,7 @@
     replaced: bool = False
 
 
-class HealthBook:
+class HealthTracker:
     """Results of requests, by endpoint.
 
     Args:
--- a/dotterelpaddle/forwarding/parts.py
+++ b/dotterelpaddle/forwarding/parts.py
@@ -16,7 +16,7 @@
 from dotterelpaddle.forwarding.endings import Endings
 from dotterelpaddle.forwarding.filters import FindRoute, Forward, KeepDeadline
 from dotterelpaddle.forwarding.follower import Follower
-from dotterelpaddle.forwarding.health import HealthBook
+from dotterelpaddle.forwarding.health import HealthTracker
 from dotterelpaddle.forwarding.isolation import IsolationDetector
 from dotterelpaddle.forwarding.leaving import LeavingEndpoints
 from dotterelpaddle.forwarding.loads import LoadBook
@@ -101,7 +101,7 @@
     view: FleetView
     shares: ShareBook
     loads: LoadBook
-    health: HealthBook
+    health: HealthTracker
     signs: EndpointSigns
     quiet: EndpointBackoffs
     cold: ColdEndpoints
@@ -356,7 +356,7 @@
         view=view,
         shares=shares,
         loads=LoadBook(shares=shares),
-        health=HealthBook(clock=clock),
+        health=HealthTracker(clock=clock),
         signs=EndpointSigns(clock=clock),
         quiet=EndpointBackoffs(clock=clock),
         cold=ColdEndpoints(
--- a/dotterelpaddle/forwarding/placement.py
+++ b/dotterelpaddle/forwarding/placement.py
@@ -30,7 +30,7 @@
     from dotterelpaddle.forwarding.cached_prompts import CachedPrompt
     from dotterelpaddle.forwarding.caches import CacheMap
     from dotterelpaddle.forwarding.cold import ColdEndpoints
-    from dotterelpaddle.forwarding.health import HealthBook
+    from dotterelpaddle.forwarding.health import HealthTracker
     from dotterelpaddle.forwarding.interface import HasPrompt
     from dotterelpaddle.forwarding.loads import LoadBook
     from dotterelpaddle.forwarding.model import EndpointEntry
@@ -88,7 +88,7 @@
         *,
         view: FleetView,
         loads: LoadBook,
-        health: HealthBook,
+        health: HealthTracker,
         reachability: Reachability,
         quiet: EndpointBackoffs,
         cold: ColdEndpoints,
--- a/dotterelpaddle/tests/forwarding/test_cold.py
+++ b/dotterelpaddle/tests/forwarding/test_cold.py
@@ -23,7 +23,7 @@
     Decider,
 )
 from dotterelpaddle.forwarding.evacuations import EvacuationSnapshot
-from dotterelpaddle.forwarding.health import HealthBook
+from dotterelpaddle.forwarding.health import HealthTracker
 from dotterelpaddle.forwarding.interface import EndpointsUpdate
 from dotterelpaddle.forwarding.loads import LoadBook
 from dotterelpaddle.forwarding.model import (
@@ -103,7 +103,7 @@
         self.placer = ForwardPlacer(
             view=self.view,
             loads=LoadBook(shares=shares),
-            health=HealthBook(clock=self._clock),
+            health=HealthTracker(clock=self._clock),
             reachability=Reachability(
                 view=self.view,
                 backend=None,  # type: ignore[arg-type]
--- a/dotterelpaddle/tests/forwarding/test_health.py
+++ b/dotterelpaddle/tests/forwarding/test_health.py
@@ -9,7 +9,7 @@
 from dotterelpaddle.forwarding.health import (
     IN_TRANSIT_SECONDS,
     MIN_EJECTION_SECONDS,
-    HealthBook,
+    HealthTracker,
 )
 from dotterelpaddle.tests.forwarding.entries import make_entry
 
@@ -21,7 +21,7 @@
 
     def __init__(self) -> None:
         self.now = 0.0
-        self.health = HealthBook(clock=lambda: self.now)
+        self.health = HealthTracker(clock=lambda: self.now)
 
     def usable(self) -> int:
         return len(self.health.usable(entries=ENTRIES))
--- a/dotterelpaddle/tests/forwarding/test_herding.py
+++ b/dotterelpaddle/tests/forwarding/test_herding.py
@@ -10,7 +10,7 @@
 from hypothesis import given, strategies as st
 
 from dotterelpaddle.forwarding.caches import CacheMap
-from dotterelpaddle.forwarding.health import HealthBook
+from dotterelpaddle.forwarding.health import HealthTracker
 from dotterelpaddle.forwarding.herding import (
     LEAST_NEARNESS,
     LOAD_MULTIPLE,
@@ -66,7 +66,7 @@
     return ForwardPlacer(
         view=view,
         loads=LoadBook(shares=shares),
-        health=HealthBook(clock=lambda: 0.0),
+        health=HealthTracker(clock=lambda: 0.0),
         reachability=Reachability(
             view=view,
             backend=None,  # type: ignore[arg-type]
--- a/dotterelpaddle/tests/forwarding/test_placement.py
+++ b/dotterelpaddle/tests/forwarding/test_placement.py
@@ -16,7 +16,7 @@
 from dotterelpaddle.forwarding.health import (
     MIN_EJECTION_SECONDS,
     MIN_RESULTS,
-    HealthBook,
+    HealthTracker,
 )
 from dotterelpaddle.forwarding.herding import LOAD_ALLOWANCE
 from dotterelpaddle.forwarding.interface import (
@@ -71,7 +71,7 @@
 
         view = FleetView(clock=clock)
         shares = ShareBook(failure_domain=HERE, clock=clock)
-        loads, health = LoadBook(shares=shares), HealthBook(clock=clock)
+        loads, health = LoadBook(shares=shares), HealthTracker(clock=clock)
         caches = CacheMap(clock=clock)
         reachability = Reachability(
             view=view,
--- a/dotterelpaddle/tests/forwarding/test_starts.py
+++ b/dotterelpaddle/tests/forwarding/test_starts.py
@@ -10,7 +10,7 @@
 from hypothesis.stateful import RuleBasedStateMachine, invariant, rule
 
 from dotterelpaddle.forwarding.caches import CacheMap
-from dotterelpaddle.forwarding.health import HealthBook
+from dotterelpaddle.forwarding.health import HealthTracker
 from dotterelpaddle.forwarding.interface import EndpointsUpdate
 from dotterelpaddle.forwarding.loads import LoadBook
 from dotterelpaddle.forwarding.model import EndpointState
@@ -198,7 +198,7 @@
 
 def test_nothing_known_of_an_earlier_start_counts_for_the_next() -> None:
     view = FleetView(clock=lambda: 0.0)
-    caches, health = CacheMap(clock=lambda: 0.0), HealthBook(clock=lambda: 0.0)
+    caches, health = CacheMap(clock=lambda: 0.0), HealthTracker(clock=lambda: 0.0)
     shares = ShareBook(failure_domain=FailureDomain("here"), clock=lambda: 0.0)
     loads = LoadBook(shares=shares)
     _hear(view, (1, 0))
--- a/dotterelpaddle/tests/owners/world.py
+++ b/dotterelpaddle/tests/owners/world.py
@@ -8,7 +8,7 @@
 from typing import TYPE_CHECKING
 
 from dotterelpaddle.forwarding.caches import CacheMap
-from dotterelpaddle.forwarding.health import HealthBook
+from dotterelpaddle.forwarding.health import HealthTracker
 from dotterelpaddle.forwarding.interface import EndpointsUpdate
 from dotterelpaddle.forwarding.loads import LoadBook
 from dotterelpaddle.forwarding.placement import ForwardPlacer
@@ -83,7 +83,7 @@
             placer=ForwardPlacer(
                 view=self.view,
                 loads=loads,
-                health=HealthBook(clock=self.clock),
+                health=HealthTracker(clock=self.clock),
                 reachability=Reachability(
                     view=self.view,
                     backend=None,  # type: ignore[arg-type]
