--- a/dotterelpaddle/forwarding/health.py
+++ b/dotterelpaddle/forwarding/health.py
@@ -83,7 +83,7 @@
         self._clock = clock
         self._records: dict[EndpointId, _Record] = {}
 
-    def error_share(self, *, endpoint: EndpointId) -> float:
+    def error_rate(self, *, endpoint: EndpointId) -> float:
         """Smoothed share of an endpoint's requests that failed."""
         record = self._records.get(endpoint)
         return record.error_rate if record is not None else 0.0
--- a/dotterelpaddle/forwarding/placement.py
+++ b/dotterelpaddle/forwarding/placement.py
@@ -253,7 +253,7 @@
         return replace(choice, noted=noted)
 
     def _share(self, entry: EndpointEntry) -> float:
-        return self._health.error_share(endpoint=entry.endpoint)
+        return self._health.error_rate(endpoint=entry.endpoint)
 
     def _least_cost(
         self,
