--- a/dotterelpaddle/forwarding/attempts.py
+++ b/dotterelpaddle/forwarding/attempts.py
@@ -199,7 +199,7 @@
             raise
         finally:
             attempt.end()
-        self._health.succeeded(endpoint=entry.endpoint, begun_at=progress.begun_at)
+        self._health.record_success(endpoint=entry.endpoint, begun_at=progress.begun_at)
         if progress.first_byte is not None:
             self._waits.begun(route=route, seconds=progress.first_byte)
             self._metrics.begun(service=entry.service, seconds=progress.first_byte)
--- a/dotterelpaddle/forwarding/health.py
+++ b/dotterelpaddle/forwarding/health.py
@@ -88,7 +88,7 @@
         record = self._records.get(endpoint)
         return record.error_rate if record is not None else 0.0
 
-    def succeeded(self, *, endpoint: EndpointId, begun_at: float) -> None:
+    def record_success(self, *, endpoint: EndpointId, begun_at: float) -> None:
         """Note a whole answer to a request that was sent at some time."""
         record = self._record(endpoint)
         self._smooth(record, failed=False)
