--- a/dotterelpaddle/forwarding/attempts.py
+++ b/dotterelpaddle/forwarding/attempts.py
@@ -319,7 +319,7 @@
             case EndpointUnreachable():
                 self._reachability.suspect(entry=entry, silent=error.silent)
             case FailedAnswer():
-                self._health.failed_answer(entry=entry)
+                self._health.record_error_answer(entry=entry)
             case EndpointSilent():
                 if progress.first_byte is None:
                     self._waits.gave_up(route=route)
--- a/dotterelpaddle/forwarding/health.py
+++ b/dotterelpaddle/forwarding/health.py
@@ -99,7 +99,7 @@
             record.hard_failures = 0
             record.ejected_until = 0.0
 
-    def failed_answer(self, *, entry: EndpointEntry) -> None:
+    def record_error_answer(self, *, entry: EndpointEntry) -> None:
         """Note an answer that says the endpoint failed on the request."""
         self._smooth(self._record(entry.endpoint), failed=True)
 
