--- a/dotterelpaddle/forwarding/attempts.py
+++ b/dotterelpaddle/forwarding/attempts.py
@@ -325,7 +325,7 @@
                     self._waits.gave_up(route=route)
                 self._health.was_silent(entry=entry)
             case _:
-                self._health.failed_hard(entry=entry, cause=error.message)
+                self._health.record_hard_failure(entry=entry, cause=error.message)
         self._metrics.failed(service=entry.service, error=type(error).__name__)
         log.warning(
             "attempt_failed",
--- a/dotterelpaddle/forwarding/health.py
+++ b/dotterelpaddle/forwarding/health.py
@@ -103,7 +103,7 @@
         """Note an answer that says the endpoint failed on the request."""
         self._smooth(self._record(entry.endpoint), failed=True)
 
-    def failed_hard(self, *, entry: EndpointEntry, cause: str) -> None:
+    def record_hard_failure(self, *, entry: EndpointEntry, cause: str) -> None:
         """Note an endpoint that broke off, or could not be used at all."""
         self._eject(entry=entry, cause=cause, broke_off=True)
 
--- a/dotterelpaddle/tests/forwarding/test_health.py
+++ b/dotterelpaddle/tests/forwarding/test_health.py
@@ -29,7 +29,7 @@
 
 def test_endpoint_that_broke_off_is_passed_over_for_a_while() -> None:
     world = World()
-    world.health.failed_hard(entry=ENTRIES[0], cause="broke off")
+    world.health.record_hard_failure(entry=ENTRIES[0], cause="broke off")
     at_once = world.usable()
     world.now = MIN_EJECTION_SECONDS
     later = world.usable()
@@ -43,7 +43,7 @@
     """Each loses one answer and brings another, begun before, a moment later."""
     world = World()
     for entry in ENTRIES[:4]:
-        world.health.failed_hard(entry=entry, cause="the connection broke")
+        world.health.record_hard_failure(entry=entry, cause="the connection broke")
     world.now = 0.2
     for entry in ENTRIES[:4]:
         world.health.record_success(endpoint=entry.endpoint, begun_at=-0.1)
@@ -53,7 +53,7 @@
 
 def test_answer_that_was_under_way_when_its_endpoint_died_says_nothing() -> None:
     world = World()
-    world.health.failed_hard(entry=ENTRIES[0], cause="the connection broke")
+    world.health.record_hard_failure(entry=ENTRIES[0], cause="the connection broke")
     world.now = IN_TRANSIT_SECONDS / 2
     world.health.record_success(endpoint=ENTRIES[0].endpoint, begun_at=-0.1)
 
--- a/dotterelpaddle/tests/forwarding/test_starts.py
+++ b/dotterelpaddle/tests/forwarding/test_starts.py
@@ -205,7 +205,7 @@
     (before,) = view.entries
     caches.note_part(endpoint=before.endpoint, part=7)
     health.gone(entry=before)
-    health.failed_hard(entry=before, cause="broke off")
+    health.record_hard_failure(entry=before, cause="broke off")
 
     with loads.hold(endpoint=before.endpoint):
         _hear(view, (2, 5))
