--- a/dotterelpaddle/forwarding/attempts.py
+++ b/dotterelpaddle/forwarding/attempts.py
@@ -323,7 +323,7 @@
             case EndpointSilent():
                 if progress.first_byte is None:
                     self._waits.gave_up(route=route)
-                self._health.was_silent(entry=entry)
+                self._health.record_timeout(entry=entry)
             case _:
                 self._health.record_hard_failure(entry=entry, cause=error.message)
         self._metrics.failed(service=entry.service, error=type(error).__name__)
--- a/dotterelpaddle/forwarding/health.py
+++ b/dotterelpaddle/forwarding/health.py
@@ -129,7 +129,7 @@
             seconds=seconds,
         )
 
-    def was_silent(self, *, entry: EndpointEntry) -> None:
+    def record_timeout(self, *, entry: EndpointEntry) -> None:
         """Note an endpoint that was given up on; one that is slow once stays."""
         record = self._record(entry.endpoint)
         now = self._clock()
--- a/dotterelpaddle/tests/forwarding/test_health.py
+++ b/dotterelpaddle/tests/forwarding/test_health.py
@@ -62,8 +62,8 @@
 
 def test_late_answer_of_a_silent_endpoint_does_not_bring_it_back() -> None:
     world = World()
-    world.health.was_silent(entry=ENTRIES[0])
-    world.health.was_silent(entry=ENTRIES[0])
+    world.health.record_timeout(entry=ENTRIES[0])
+    world.health.record_timeout(entry=ENTRIES[0])
     world.now = 2 * IN_TRANSIT_SECONDS
     world.health.record_success(endpoint=ENTRIES[0].endpoint, begun_at=-0.1)
 
