--- a/dotterelpaddle/forwarding/attempts.py
+++ b/dotterelpaddle/forwarding/attempts.py
@@ -313,7 +313,7 @@
             self._caches.retract(endpoint=entry.endpoint, parts=choice.noted)
         match error:
             case EndpointReplaced():
-                self._health.gone(entry=entry)
+                self._health.record_replaced(entry=entry)
             case EndpointRefused() | ForeignAnswer() | IdleConnectionLost():
                 pass
             case EndpointUnreachable():
--- a/dotterelpaddle/forwarding/health.py
+++ b/dotterelpaddle/forwarding/health.py
@@ -140,7 +140,7 @@
         else:
             self._smooth(record, failed=True)
 
-    def gone(self, *, entry: EndpointEntry) -> None:
+    def record_replaced(self, *, entry: EndpointEntry) -> None:
         """Note that another endpoint has the address; this one is gone for good."""
         self._record(entry.endpoint).replaced = True
         log.warning("endpoint_replaced", endpoint=entry.endpoint)
