--- a/dotterelpaddle/forwarding/candidates.py
+++ b/dotterelpaddle/forwarding/candidates.py
@@ -70,7 +70,7 @@
             entry
             for entry in self._view.ready(service=service)
             if serves(entry=entry, request=request)
-            and not self._health.is_gone(endpoint=entry.endpoint)
+            and not self._health.is_replaced(endpoint=entry.endpoint)
             and not self._quiet.is_backing_off(endpoint=entry.endpoint)
         ]
 
--- a/dotterelpaddle/forwarding/health.py
+++ b/dotterelpaddle/forwarding/health.py
@@ -145,7 +145,7 @@
         self._record(entry.endpoint).replaced = True
         log.warning("endpoint_replaced", endpoint=entry.endpoint)
 
-    def is_gone(self, *, endpoint: EndpointId) -> bool:
+    def is_replaced(self, *, endpoint: EndpointId) -> bool:
         """Tell whether another endpoint has an endpoint's address."""
         record = self._records.get(endpoint)
         return record is not None and record.replaced
--- a/dotterelpaddle/tests/forwarding/test_starts.py
+++ b/dotterelpaddle/tests/forwarding/test_starts.py
@@ -213,7 +213,7 @@
 
         assert after.name == before.name
         assert loads.loads()[after.endpoint] == 0
-    assert not health.is_gone(endpoint=after.endpoint)
+    assert not health.is_replaced(endpoint=after.endpoint)
     assert health.usable(entries=[after]) == [after]
     assert (7, after.endpoint) not in caches.uses()
     assert (7, before.endpoint) in caches.uses()
