--- a/dotterelpaddle/forwarding/cached_prompts.py
+++ b/dotterelpaddle/forwarding/cached_prompts.py
@@ -92,7 +92,7 @@
         holders += [
             entry
             for entry in self._view.last_resort(service=service)
-            if self._health.is_sound(endpoint=entry.endpoint)
+            if self._health.is_healthy(endpoint=entry.endpoint)
         ]
         holders = self._reachability.reachable(entries=holders)
         total = shared_tokens(request=request)
--- a/dotterelpaddle/forwarding/health.py
+++ b/dotterelpaddle/forwarding/health.py
@@ -150,7 +150,7 @@
         record = self._records.get(endpoint)
         return record is not None and record.replaced
 
-    def is_sound(self, *, endpoint: EndpointId) -> bool:
+    def is_healthy(self, *, endpoint: EndpointId) -> bool:
         """Tell whether nothing but whole answers came from an endpoint of late."""
         record = self._records.get(endpoint)
         return record is None or not (record.replaced or record.hard_failures)
