--- a/dotterelpaddle/forwarding/health.py
+++ b/dotterelpaddle/forwarding/health.py
@@ -166,7 +166,7 @@
         ]
         return self._without_failing(candidates)
 
-    def keep(self, *, endpoints: frozenset[EndpointId]) -> None:
+    def retain(self, *, endpoints: frozenset[EndpointId]) -> None:
         """Forget all endpoints but some."""
         for endpoint in self._records.keys() - endpoints:
             del self._records[endpoint]
--- a/dotterelpaddle/forwarding/router.py
+++ b/dotterelpaddle/forwarding/router.py
@@ -130,7 +130,7 @@
         await anyio.sleep(HOUSEKEEPING_PAUSE)
         await parts.client.discard_expired()
         known = frozenset(entry.endpoint for entry in knowledge.view.entries)
-        knowledge.health.keep(endpoints=known)
+        knowledge.health.retain(endpoints=known)
         knowledge.signs.keep(endpoints=known)
         knowledge.quiet.retain(endpoints=known)
         knowledge.cold.keep(endpoints=known)
