--- a/dotterelpaddle/forwarding/cold.py
+++ b/dotterelpaddle/forwarding/cold.py
@@ -25,7 +25,7 @@
 
 log = get_logger(name=__name__)
 
-WINDOW = 1.2
+WINDOW_SECONDS = 1.2
 """Seconds in which requests are counted together: the second that counts, and the time
 by which two of them may come nearer to each other on their way."""
 
@@ -148,7 +148,7 @@
 
     def _recent(self, endpoint: EndpointId) -> deque[float]:
         sent = self._sent.setdefault(endpoint, deque())
-        while sent and sent[0] <= self._clock() - WINDOW:
+        while sent and sent[0] <= self._clock() - WINDOW_SECONDS:
             sent.popleft()
         return sent
 
