--- a/dotterelpaddle/forwarding/cold.py
+++ b/dotterelpaddle/forwarding/cold.py
@@ -32,7 +32,7 @@
 OWNER_SHARE = 1 / 3
 """Part of the allowance that an owner grants: while one follows another both may."""
 
-ALONE_SHARE = 2 / 3
+OWNERLESS_SHARE = 2 / 3
 """Part that few routers divide among them where there are no owners."""
 
 DRAWN_SHARE = 1 / 3
@@ -171,7 +171,7 @@
         if self._clock() - self._started_at < SETTLING_TIME:
             return 0
         routers = self._routers()
-        whole = int(ALONE_SHARE * bound / routers)
+        whole = int(OWNERLESS_SHARE * bound / routers)
         if whole:
             return whole
         draw = digest(text=f"{self._router}/{entry.endpoint}") * _SCALE
