--- a/dotterelpaddle/forwarding/cold.py
+++ b/dotterelpaddle/forwarding/cold.py
@@ -35,7 +35,7 @@
 OWNERLESS_SHARE = 2 / 3
 """Part that few routers divide among them where there are no owners."""
 
-DRAWN_SHARE = 1 / 3
+RANDOM_DRAW_SHARE = 1 / 3
 """Part that more routers than requests use where they know no owners: which of them
 send one is drawn, and may be twice as many by chance, beside an owner as well."""
 
@@ -175,4 +175,4 @@
         if whole:
             return whole
         draw = digest(text=f"{self._router}/{entry.endpoint}") * _SCALE
-        return int(draw < DRAWN_SHARE * bound / routers)
+        return int(draw < RANDOM_DRAW_SHARE * bound / routers)
