--- a/dotterelpaddle/forwarding/cold.py
+++ b/dotterelpaddle/forwarding/cold.py
@@ -39,7 +39,7 @@
 """Part that more routers than requests use where they know no owners: which of them
 send one is drawn, and may be twice as many by chance, beside an owner as well."""
 
-SETTLING_TIME = 2.0
+SETTLING_SECONDS = 2.0
 """Seconds after its start in which a router may know few of the others, and sends
 nothing to cold endpoints by itself."""
 
@@ -168,7 +168,7 @@
 
     def _own_part(self, entry: EndpointEntry, bound: float) -> int:
         """This router's part of what all of them may send where there are no owners."""
-        if self._clock() - self._started_at < SETTLING_TIME:
+        if self._clock() - self._started_at < SETTLING_SECONDS:
             return 0
         routers = self._routers()
         whole = int(OWNERLESS_SHARE * bound / routers)
--- a/dotterelpaddle/tests/forwarding/test_cold.py
+++ b/dotterelpaddle/tests/forwarding/test_cold.py
@@ -18,7 +18,7 @@
 from dotterelpaddle.exceptions import NoEndpoint
 from dotterelpaddle.forwarding.caches import CacheMap
 from dotterelpaddle.forwarding.cold import (
-    SETTLING_TIME,
+    SETTLING_SECONDS,
     ColdEndpoints,
     Decider,
 )
@@ -131,7 +131,7 @@
 
     def settle(self) -> None:
         """Let the time pass in which others may not be known yet."""
-        self.now += SETTLING_TIME
+        self.now += SETTLING_SECONDS
 
     def choose(self, *, decider: Decider = Decider.ALONE) -> Choice:
         """Choose for a plain request."""
@@ -162,7 +162,7 @@
     """Let all routers choose a few times in one second."""
     for number in range(rounds):
         for router in fleet:
-            router.now = SETTLING_TIME + number / rounds
+            router.now = SETTLING_SECONDS + number / rounds
             router.choose(decider=decider)
     return sum(len(router.sent) for router in fleet)
 
@@ -250,7 +250,7 @@
     @initialize(count=st.sampled_from([2, 5, 9, 16]))
     def start(self, count: int) -> None:
         self.fleet = _fleet(count)
-        self.now = SETTLING_TIME
+        self.now = SETTLING_SECONDS
         self.arrived: list[float] = []
 
     @rule(seconds=st.floats(0.01, 0.7))
