--- a/dotterelpaddle/forwarding/cold.py
+++ b/dotterelpaddle/forwarding/cold.py
@@ -50,7 +50,7 @@
     """Who decides for a request."""
 
     OWNER = "owner"
-    ALONE_BESIDE_OWNERS = "alone_beside_owners"
+    NON_OWNER = "alone_beside_owners"
     ALONE = "alone"
 
 
@@ -161,7 +161,7 @@
         match decider:
             case Decider.OWNER:
                 return int(OWNER_SHARE * bound)
-            case Decider.ALONE_BESIDE_OWNERS:
+            case Decider.NON_OWNER:
                 return 0
             case Decider.ALONE:
                 return self._own_part(entry, bound)
--- a/dotterelpaddle/owners/placing.py
+++ b/dotterelpaddle/owners/placing.py
@@ -97,11 +97,7 @@
             request=request,
             repeatable=repeatable,
             excluded=excluded,
-            decider=(
-                Decider.ALONE_BESIDE_OWNERS
-                if self._directory.owners()
-                else Decider.ALONE
-            ),
+            decider=(Decider.NON_OWNER if self._directory.owners() else Decider.ALONE),
         )
         return replace(choice, alone=decided)
 
--- a/dotterelpaddle/tests/forwarding/test_cold.py
+++ b/dotterelpaddle/tests/forwarding/test_cold.py
@@ -178,7 +178,7 @@
 @pytest.mark.parametrize("count", [74, 195])
 def test_owner_and_those_beside_it_stay_within_it_together(count: int) -> None:
     """Guards against two parts of one allowance that each use all of it."""
-    beside = _herd(_fleet(count), decider=Decider.ALONE_BESIDE_OWNERS)
+    beside = _herd(_fleet(count), decider=Decider.NON_OWNER)
     without = _herd(_fleet(count), decider=Decider.ALONE)
     owner = _fleet(1)[0]
     granted = 0
