--- a/dotterelpaddle/forwarding/cold.py
+++ b/dotterelpaddle/forwarding/cold.py
@@ -51,7 +51,7 @@
 
     OWNER = "owner"
     NON_OWNER = "alone_beside_owners"
-    ALONE = "alone"
+    OWNERLESS = "alone"
 
 
 class ColdEndpoints:
@@ -163,7 +163,7 @@
                 return int(OWNER_SHARE * bound)
             case Decider.NON_OWNER:
                 return 0
-            case Decider.ALONE:
+            case Decider.OWNERLESS:
                 return self._own_part(entry, bound)
 
     def _own_part(self, entry: EndpointEntry, bound: float) -> int:
--- a/dotterelpaddle/forwarding/placement.py
+++ b/dotterelpaddle/forwarding/placement.py
@@ -123,7 +123,7 @@
         request: HasPrompt,
         repeatable: bool,
         excluded: frozenset[EndpointId],
-        decider: Decider = Decider.ALONE,
+        decider: Decider = Decider.OWNERLESS,
     ) -> Choice:
         """Choose an endpoint of a service.
 
--- a/dotterelpaddle/owners/placing.py
+++ b/dotterelpaddle/owners/placing.py
@@ -97,7 +97,9 @@
             request=request,
             repeatable=repeatable,
             excluded=excluded,
-            decider=(Decider.NON_OWNER if self._directory.owners() else Decider.ALONE),
+            decider=(
+                Decider.NON_OWNER if self._directory.owners() else Decider.OWNERLESS
+            ),
         )
         return replace(choice, alone=decided)
 
--- a/dotterelpaddle/tests/forwarding/test_cold.py
+++ b/dotterelpaddle/tests/forwarding/test_cold.py
@@ -133,7 +133,7 @@
         """Let the time pass in which others may not be known yet."""
         self.now += SETTLING_SECONDS
 
-    def choose(self, *, decider: Decider = Decider.ALONE) -> Choice:
+    def choose(self, *, decider: Decider = Decider.OWNERLESS) -> Choice:
         """Choose for a plain request."""
         choice = self.placer.choose(
             service=SERVICE,
@@ -172,14 +172,14 @@
     count: int,
 ) -> None:
     """Guards against a cold endpoint that all routers find idle at once."""
-    assert _herd(_fleet(count), decider=Decider.ALONE) <= MOST
+    assert _herd(_fleet(count), decider=Decider.OWNERLESS) <= MOST
 
 
 @pytest.mark.parametrize("count", [74, 195])
 def test_owner_and_those_beside_it_stay_within_it_together(count: int) -> None:
     """Guards against two parts of one allowance that each use all of it."""
     beside = _herd(_fleet(count), decider=Decider.NON_OWNER)
-    without = _herd(_fleet(count), decider=Decider.ALONE)
+    without = _herd(_fleet(count), decider=Decider.OWNERLESS)
     owner = _fleet(1)[0]
     granted = 0
     while owner.cold.with_room(entries=[_entry(COLD)], decider=Decider.OWNER):
@@ -195,12 +195,12 @@
 
 def test_herd_without_bounds_goes_far_over_it() -> None:
     """Shows that the pattern is one, and that the bounds are what keeps it off."""
-    assert _herd(_fleet(74, bounds=None), decider=Decider.ALONE) > 2 * MOST
+    assert _herd(_fleet(74, bounds=None), decider=Decider.OWNERLESS) > 2 * MOST
 
 
 def test_cold_endpoint_is_used_as_far_as_it_bears_work() -> None:
     """Guards against endpoints that stay cold because nobody sends them anything."""
-    assert _herd(_fleet(9), decider=Decider.ALONE) >= SLOW_START.rate / 2
+    assert _herd(_fleet(9), decider=Decider.OWNERLESS) >= SLOW_START.rate / 2
 
 
 def test_router_that_knows_few_others_sends_nothing_there() -> None:
