--- a/dotterelpaddle/forwarding/cold.py
+++ b/dotterelpaddle/forwarding/cold.py
@@ -95,7 +95,7 @@
         back_at = self._view.evacuations.last_ended_at
         return now < max(self._last_until, back_at + longest)
 
-    def keep(self, *, endpoints: frozenset[EndpointId]) -> None:
+    def retain(self, *, endpoints: frozenset[EndpointId]) -> None:
         """Forget all endpoints but some."""
         for endpoint in self._until.keys() - endpoints:
             del self._until[endpoint]
--- a/dotterelpaddle/forwarding/router.py
+++ b/dotterelpaddle/forwarding/router.py
@@ -133,4 +133,4 @@
         knowledge.health.retain(endpoints=known)
         knowledge.signs.keep(endpoints=known)
         knowledge.quiet.retain(endpoints=known)
-        knowledge.cold.keep(endpoints=known)
+        knowledge.cold.retain(endpoints=known)
