--- a/dotterelpaddle/forwarding/cold.py
+++ b/dotterelpaddle/forwarding/cold.py
@@ -115,7 +115,7 @@
         back_at = self._view.evacuations.ended_at(failure_domain=domain)
         return now - back_at < slow_start.duration
 
-    def with_room(
+    def with_capacity(
         self, *, entries: Sequence[EndpointEntry], decider: Decider
     ) -> Sequence[EndpointEntry]:
         """Leave out cold endpoints that have got their part."""
--- a/dotterelpaddle/forwarding/placement.py
+++ b/dotterelpaddle/forwarding/placement.py
@@ -144,7 +144,7 @@
         loads = self._loads.loads()
         risk = REPEATABLE_RISK if repeatable else UNREPEATABLE_RISK
         mean = sum(loads[entry.endpoint] for entry in left) / len(left)
-        candidates = self._cold.with_room(entries=left, decider=decider)
+        candidates = self._cold.with_capacity(entries=left, decider=decider)
         if not candidates:
             raise NoEndpoint(
                 f"the {len(left)} endpoints of service '{service}' that are left are "
@@ -200,7 +200,7 @@
             service=service, request=request, excluded=excluded
         )
         mean = sum(loads[entry.endpoint] for entry in candidates) / len(candidates)
-        counted = self._cold.with_room(
+        counted = self._cold.with_capacity(
             entries=shard_entries(entries=candidates, shard=shard),
             decider=Decider.OWNER,
         )
--- a/dotterelpaddle/tests/forwarding/test_cold.py
+++ b/dotterelpaddle/tests/forwarding/test_cold.py
@@ -182,7 +182,7 @@
     without = _herd(_fleet(count), decider=Decider.OWNERLESS)
     owner = _fleet(1)[0]
     granted = 0
-    while owner.cold.with_room(entries=[_entry(COLD)], decider=Decider.OWNER):
+    while owner.cold.with_capacity(entries=[_entry(COLD)], decider=Decider.OWNER):
         owner.cold.count(entry=_entry(COLD))
         granted += 1
 
