--- a/dotterelpaddle/forwarding/cold.py
+++ b/dotterelpaddle/forwarding/cold.py
@@ -127,7 +127,7 @@
             if not self.is_cold(entry=entry) or self._has_room(entry, decider)
         ]
 
-    def count(self, *, entry: EndpointEntry) -> None:
+    def record_request(self, *, entry: EndpointEntry) -> None:
         """Count a request that is sent to an endpoint, or granted there."""
         if self._bounds is not None and self.is_cold(entry=entry):
             self._recent(entry.endpoint).append(self._clock())
--- a/dotterelpaddle/forwarding/placement.py
+++ b/dotterelpaddle/forwarding/placement.py
@@ -239,7 +239,7 @@
 
     def _counted(self, *, choice: Choice, request: HasPrompt) -> Choice:
         """Count a request where it goes, if that is cold, and note its prompt there."""
-        self._cold.count(entry=choice.entry)
+        self._cold.record_request(entry=choice.entry)
         return self.noted(choice=choice, request=request)
 
     def noted(self, *, choice: Choice, request: HasPrompt) -> Choice:
--- a/dotterelpaddle/tests/forwarding/test_cold.py
+++ b/dotterelpaddle/tests/forwarding/test_cold.py
@@ -183,7 +183,7 @@
     owner = _fleet(1)[0]
     granted = 0
     while owner.cold.with_capacity(entries=[_entry(COLD)], decider=Decider.OWNER):
-        owner.cold.count(entry=_entry(COLD))
+        owner.cold.record_request(entry=_entry(COLD))
         granted += 1
 
     assert granted > 0
