--- a/dotterelpaddle/forwarding/waits.py
+++ b/dotterelpaddle/forwarding/waits.py
@@ -16,7 +16,7 @@
 if TYPE_CHECKING:
     from dotterelpaddle.forwarding.model import ForwardRoute
 
-CONNECT_TIME = 0.15
+CONNECT_TIMEOUT_SECONDS = 0.15
 """Seconds until a connection must stand: a lost first packet is sent again after
 a second, by which time another endpoint has long been asked."""
 
