--- a/dotterelpaddle/forwarding/progress.py
+++ b/dotterelpaddle/forwarding/progress.py
@@ -8,7 +8,10 @@
 from dotterelpaddle.endpoint.evidence import Evidence
 from dotterelpaddle.exceptions import EndpointUnreachable
 from dotterelpaddle.forwarding.exceptions import IdleConnectionLost
-from dotterelpaddle.forwarding.waits import CONNECT_TIMEOUT_SECONDS, SECOND_CONNECT_TIME
+from dotterelpaddle.forwarding.waits import (
+    CONNECT_TIMEOUT_SECONDS,
+    LAST_CONNECT_TIMEOUT_SECONDS,
+)
 
 if TYPE_CHECKING:
     from dotterelpaddle.clock import Clock
@@ -54,7 +57,7 @@
     def connect_time(self, *, endpoint: EndpointId) -> float:
         """Seconds until a connection to an endpoint must stand."""
         return (
-            SECOND_CONNECT_TIME
+            LAST_CONNECT_TIMEOUT_SECONDS
             if endpoint in self._unconnected
             else CONNECT_TIMEOUT_SECONDS
         )
--- a/dotterelpaddle/forwarding/waits.py
+++ b/dotterelpaddle/forwarding/waits.py
@@ -20,7 +20,7 @@
 """Seconds until a connection must stand: a lost first packet is sent again after
 a second, by which time another endpoint has long been asked."""
 
-SECOND_CONNECT_TIME = 0.5
+LAST_CONNECT_TIMEOUT_SECONDS = 0.5
 """The same where no other endpoint is left to ask: a busy host that needs longer
 still serves, and a caller whose time is up is told soon enough to come back."""
 
