--- a/dotterelpaddle/forwarding/waits.py
+++ b/dotterelpaddle/forwarding/waits.py
@@ -24,7 +24,7 @@
 """The same where no other endpoint is left to ask: a busy host that needs longer
 still serves, and a caller whose time is up is told soon enough to come back."""
 
-WHOLE_BEGIN = Bounds(floor=0.5, initial=1.3, cap=2.0)
+ANSWER_START_BOUNDS = Bounds(floor=0.5, initial=1.3, cap=2.0)
 """Wait for a whole answer that may be asked for again elsewhere, in times of the
 route's latency objective: half of it is twice what an answer takes on average, and
 leaves the other half for a second one."""
@@ -105,7 +105,7 @@
 def _bounds(*, route: ForwardRoute) -> Bounds:
     """Return the range of the wait for an answer's begin, in seconds."""
     objective = route.latency_objective or UNKNOWN_OBJECTIVE
-    ratios = EVENT_BEGIN if route.kind is RequestKind.STREAM else WHOLE_BEGIN
+    ratios = EVENT_BEGIN if route.kind is RequestKind.STREAM else ANSWER_START_BOUNDS
     return Bounds(
         floor=ratios.floor * objective,
         initial=ratios.initial * objective,
