--- a/dotterelpaddle/forwarding/waits.py
+++ b/dotterelpaddle/forwarding/waits.py
@@ -29,7 +29,7 @@
 route's latency objective: half of it is twice what an answer takes on average, and
 leaves the other half for a second one."""
 
-EVENT_BEGIN = Bounds(floor=0.875, initial=1.1, cap=2.5)
+FIRST_EVENT_BOUNDS = Bounds(floor=0.875, initial=1.1, cap=2.5)
 """Wait for a stream's first event, in times of the route's latency objective. With
 its prompt cached, one in a hundred waits three quarters of it behind the prompts of
 others; shorter waits moved those, and their prompts were read twice."""
@@ -105,7 +105,9 @@
 def _bounds(*, route: ForwardRoute) -> Bounds:
     """Return the range of the wait for an answer's begin, in seconds."""
     objective = route.latency_objective or UNKNOWN_OBJECTIVE
-    ratios = EVENT_BEGIN if route.kind is RequestKind.STREAM else ANSWER_START_BOUNDS
+    ratios = (
+        FIRST_EVENT_BOUNDS if route.kind is RequestKind.STREAM else ANSWER_START_BOUNDS
+    )
     return Bounds(
         floor=ratios.floor * objective,
         initial=ratios.initial * objective,
