--- a/dotterelpaddle/forwarding/waits.py
+++ b/dotterelpaddle/forwarding/waits.py
@@ -38,7 +38,7 @@
 """Longest gap between two events in times of the route's objective for it: callers
 give up at eight."""
 
-LEAST_GAP = 0.45
+MIN_GAP_SECONDS = 0.45
 """Seconds between two events that are always allowed: a preempted stream is read
 in again meanwhile."""
 
@@ -116,4 +116,4 @@
 
 
 def _longest_gap(*, route: ForwardRoute) -> float:
-    return max(LEAST_GAP, GAP_RATIO * (route.gap_objective or UNKNOWN_GAP))
+    return max(MIN_GAP_SECONDS, GAP_RATIO * (route.gap_objective or UNKNOWN_GAP))
