--- a/dotterelpaddle/forwarding/waits.py
+++ b/dotterelpaddle/forwarding/waits.py
@@ -42,7 +42,7 @@
 """Seconds between two events that are always allowed: a preempted stream is read
 in again meanwhile."""
 
-UNKNOWN_OBJECTIVE = 0.8
+DEFAULT_LATENCY_OBJECTIVE_SECONDS = 0.8
 """Seconds that are assumed where a route states no latency objective."""
 
 UNKNOWN_GAP = 0.3
@@ -104,7 +104,7 @@
 
 def _bounds(*, route: ForwardRoute) -> Bounds:
     """Return the range of the wait for an answer's begin, in seconds."""
-    objective = route.latency_objective or UNKNOWN_OBJECTIVE
+    objective = route.latency_objective or DEFAULT_LATENCY_OBJECTIVE_SECONDS
     ratios = (
         FIRST_EVENT_BOUNDS if route.kind is RequestKind.STREAM else ANSWER_START_BOUNDS
     )
