--- a/dotterelpaddle/forwarding/waits.py
+++ b/dotterelpaddle/forwarding/waits.py
@@ -45,7 +45,7 @@
 DEFAULT_LATENCY_OBJECTIVE_SECONDS = 0.8
 """Seconds that are assumed where a route states no latency objective."""
 
-UNKNOWN_GAP = 0.3
+DEFAULT_GAP_OBJECTIVE_SECONDS = 0.3
 """Seconds between events that are assumed where a route states no objective."""
 
 READING_TIME = 1 / 40_000
@@ -116,4 +116,7 @@
 
 
 def _longest_gap(*, route: ForwardRoute) -> float:
-    return max(MIN_GAP_SECONDS, GAP_RATIO * (route.gap_objective or UNKNOWN_GAP))
+    return max(
+        MIN_GAP_SECONDS,
+        GAP_RATIO * (route.gap_objective or DEFAULT_GAP_OBJECTIVE_SECONDS),
+    )
