--- a/dotterelpaddle/forwarding/waits.py
+++ b/dotterelpaddle/forwarding/waits.py
@@ -48,7 +48,7 @@
 DEFAULT_GAP_OBJECTIVE_SECONDS = 0.3
 """Seconds between events that are assumed where a route states no objective."""
 
-READING_TIME = 1 / 40_000
+PREFILL_SECONDS_PER_TOKEN = 1 / 40_000
 """Seconds that are allowed for each prompt token that is not cached; an engine
 alone needs half of it."""
 
@@ -76,7 +76,7 @@
         connect = min(connect_time, time_left)
         if not may_repeat:
             return Patience(connect=connect, first_byte=time_left, gap=time_left)
-        reading = READING_TIME * missing_tokens
+        reading = PREFILL_SECONDS_PER_TOKEN * missing_tokens
         begin = self._begin(route).limit() + reading
         longest = _bounds(route=route).cap + reading
         return Patience(
--- a/dotterelpaddle/tests/forwarding/test_waits.py
+++ b/dotterelpaddle/tests/forwarding/test_waits.py
@@ -5,7 +5,7 @@
 import pytest
 
 from dotterelpaddle.forwarding.model import ForwardRoute, RequestKind
-from dotterelpaddle.forwarding.waits import READING_TIME, WaitBook
+from dotterelpaddle.forwarding.waits import PREFILL_SECONDS_PER_TOKEN, WaitBook
 
 
 def _route(kind: RequestKind, objective: float) -> ForwardRoute:
@@ -58,7 +58,7 @@
 
     longer = _first(book, STREAM, missing=20_000) - _first(book, STREAM)
 
-    assert longer == pytest.approx(20_000 * READING_TIME)
+    assert longer == pytest.approx(20_000 * PREFILL_SECONDS_PER_TOKEN)
 
 
 def test_giving_up_makes_more_patient_until_an_answer_comes() -> None:
