--- a/dotterelpaddle/forwarding/attempts.py
+++ b/dotterelpaddle/forwarding/attempts.py
@@ -42,7 +42,7 @@
     from dotterelpaddle.forwarding.relays import Relay
     from dotterelpaddle.forwarding.repeats import SharedRepeats
     from dotterelpaddle.forwarding.residency import Residency
-    from dotterelpaddle.forwarding.waits import WaitBook
+    from dotterelpaddle.forwarding.waits import TimeoutEstimator
     from dotterelpaddle.ids import EndpointId
     from dotterelpaddle.owners.placing import OwnersPlacer
 
@@ -87,7 +87,7 @@
         caches: CacheMap,
         guard: CrashGuard,
         repeats: SharedRepeats,
-        waits: WaitBook,
+        waits: TimeoutEstimator,
         metrics: ForwardMetrics,
         clock: Clock,
     ) -> None:
--- a/dotterelpaddle/forwarding/parts.py
+++ b/dotterelpaddle/forwarding/parts.py
@@ -30,7 +30,7 @@
 from dotterelpaddle.forwarding.shares import ShareBook
 from dotterelpaddle.forwarding.signs import EndpointSigns
 from dotterelpaddle.forwarding.view import FleetView
-from dotterelpaddle.forwarding.waits import WaitBook
+from dotterelpaddle.forwarding.waits import TimeoutEstimator
 from dotterelpaddle.network import LinkedBackend
 from dotterelpaddle.owners.asking import OwnerExchange
 from dotterelpaddle.owners.counts import ShardCounts
@@ -255,7 +255,7 @@
             clock=clock,
         ),
         repeats=knowledge.repeats,
-        waits=WaitBook(),
+        waits=TimeoutEstimator(),
         metrics=metrics,
         clock=clock,
     )
--- a/dotterelpaddle/forwarding/waits.py
+++ b/dotterelpaddle/forwarding/waits.py
@@ -53,7 +53,7 @@
 alone needs half of it."""
 
 
-class WaitBook:
+class TimeoutEstimator:
     """What was learnt of the begin of answers, by route."""
 
     def __init__(self) -> None:
--- a/dotterelpaddle/tests/forwarding/test_waits.py
+++ b/dotterelpaddle/tests/forwarding/test_waits.py
@@ -5,7 +5,7 @@
 import pytest
 
 from dotterelpaddle.forwarding.model import ForwardRoute, RequestKind
-from dotterelpaddle.forwarding.waits import PREFILL_SECONDS_PER_TOKEN, WaitBook
+from dotterelpaddle.forwarding.waits import PREFILL_SECONDS_PER_TOKEN, TimeoutEstimator
 
 
 def _route(kind: RequestKind, objective: float) -> ForwardRoute:
@@ -27,7 +27,7 @@
 WHOLE = _route(RequestKind.IDEMPOTENT, 0.3)
 
 
-def _first(book: WaitBook, route: ForwardRoute, missing: int = 0) -> float:
+def _first(book: TimeoutEstimator, route: ForwardRoute, missing: int = 0) -> float:
     patience = book.patience(
         route=route,
         time_left=5.0,
@@ -40,7 +40,7 @@
 
 @pytest.mark.parametrize("route", [STREAM, WHOLE])
 def test_wait_leaves_time_for_another_attempt(route: ForwardRoute) -> None:
-    book = WaitBook()
+    book = TimeoutEstimator()
     for _ in range(50):
         book.begun(route=route, seconds=0.05)
 
@@ -50,11 +50,13 @@
 def test_waits_follow_the_objective() -> None:
     slow, quick = _route(RequestKind.STREAM, 2.0), _route(RequestKind.STREAM, 0.2)
 
-    assert _first(WaitBook(), slow) == pytest.approx(10 * _first(WaitBook(), quick))
+    assert _first(TimeoutEstimator(), slow) == pytest.approx(
+        10 * _first(TimeoutEstimator(), quick)
+    )
 
 
 def test_wait_grows_with_what_is_to_be_read() -> None:
-    book = WaitBook()
+    book = TimeoutEstimator()
 
     longer = _first(book, STREAM, missing=20_000) - _first(book, STREAM)
 
@@ -62,7 +64,7 @@
 
 
 def test_giving_up_makes_more_patient_until_an_answer_comes() -> None:
-    book = WaitBook()
+    book = TimeoutEstimator()
     book.begun(route=WHOLE, seconds=0.05)
     before = _first(book, WHOLE)
     book.gave_up(route=WHOLE)
@@ -74,7 +76,7 @@
 
 
 def test_what_can_not_be_repeated_waits_to_its_deadline() -> None:
-    patience = WaitBook().patience(
+    patience = TimeoutEstimator().patience(
         route=STREAM,
         time_left=5.0,
         connect_time=0.1,
