--- a/dotterelpaddle/forwarding/attempts.py
+++ b/dotterelpaddle/forwarding/attempts.py
@@ -236,7 +236,7 @@
                 last_event=relay.last_event,
                 fetch_from=source.address if source is not None else None,
             ),
-            patience=self._waits.patience(
+            patience=self._waits.attempt_timeouts(
                 route=route,
                 time_left=time_left,
                 connect_time=connect_time,
--- a/dotterelpaddle/forwarding/waits.py
+++ b/dotterelpaddle/forwarding/waits.py
@@ -59,7 +59,7 @@
     def __init__(self) -> None:
         self._begins: dict[tuple[str, str, float], Estimate] = {}
 
-    def patience(
+    def attempt_timeouts(
         self,
         *,
         route: ForwardRoute,
--- a/dotterelpaddle/tests/forwarding/test_waits.py
+++ b/dotterelpaddle/tests/forwarding/test_waits.py
@@ -28,7 +28,7 @@
 
 
 def _first(book: TimeoutEstimator, route: ForwardRoute, missing: int = 0) -> float:
-    patience = book.patience(
+    patience = book.attempt_timeouts(
         route=route,
         time_left=5.0,
         connect_time=0.1,
@@ -76,7 +76,7 @@
 
 
 def test_what_can_not_be_repeated_waits_to_its_deadline() -> None:
-    patience = TimeoutEstimator().patience(
+    patience = TimeoutEstimator().attempt_timeouts(
         route=STREAM,
         time_left=5.0,
         connect_time=0.1,
