--- a/dotterelpaddle/forwarding/attempts.py
+++ b/dotterelpaddle/forwarding/attempts.py
@@ -201,7 +201,7 @@
             attempt.end()
         self._health.record_success(endpoint=entry.endpoint, begun_at=progress.begun_at)
         if progress.first_byte is not None:
-            self._waits.begun(route=route, seconds=progress.first_byte)
+            self._waits.record_answer_start(route=route, seconds=progress.first_byte)
             self._metrics.begun(service=entry.service, seconds=progress.first_byte)
         return result
 
--- a/dotterelpaddle/forwarding/waits.py
+++ b/dotterelpaddle/forwarding/waits.py
@@ -86,7 +86,7 @@
             slow_first_byte=min(longest, time_left),
         )
 
-    def begun(self, *, route: ForwardRoute, seconds: float) -> None:
+    def record_answer_start(self, *, route: ForwardRoute, seconds: float) -> None:
         """Take in how long an answer took to begin."""
         self._begin(route).observe(seconds=seconds)
 
--- a/dotterelpaddle/tests/forwarding/test_waits.py
+++ b/dotterelpaddle/tests/forwarding/test_waits.py
@@ -42,7 +42,7 @@
 def test_wait_leaves_time_for_another_attempt(route: ForwardRoute) -> None:
     book = TimeoutEstimator()
     for _ in range(50):
-        book.begun(route=route, seconds=0.05)
+        book.record_answer_start(route=route, seconds=0.05)
 
     assert 0.05 < _first(book, route) < route.latency_objective
 
@@ -65,11 +65,11 @@
 
 def test_giving_up_makes_more_patient_until_an_answer_comes() -> None:
     book = TimeoutEstimator()
-    book.begun(route=WHOLE, seconds=0.05)
+    book.record_answer_start(route=WHOLE, seconds=0.05)
     before = _first(book, WHOLE)
     book.gave_up(route=WHOLE)
     after = _first(book, WHOLE)
-    book.begun(route=WHOLE, seconds=0.05)
+    book.record_answer_start(route=WHOLE, seconds=0.05)
 
     assert after > before
     assert _first(book, WHOLE) <= before
