--- a/dotterelpaddle/forwarding/attempts.py
+++ b/dotterelpaddle/forwarding/attempts.py
@@ -322,7 +322,7 @@
                 self._health.record_error_answer(entry=entry)
             case EndpointSilent():
                 if progress.first_byte is None:
-                    self._waits.gave_up(route=route)
+                    self._waits.record_timeout(route=route)
                 self._health.record_timeout(entry=entry)
             case _:
                 self._health.record_hard_failure(entry=entry, cause=error.message)
--- a/dotterelpaddle/forwarding/waits.py
+++ b/dotterelpaddle/forwarding/waits.py
@@ -90,7 +90,7 @@
         """Take in how long an answer took to begin."""
         self._begin(route).observe(seconds=seconds)
 
-    def gave_up(self, *, route: ForwardRoute) -> None:
+    def record_timeout(self, *, route: ForwardRoute) -> None:
         """Take in that an endpoint was given up on before its answer began."""
         self._begin(route).back_off()
 
--- a/dotterelpaddle/tests/forwarding/test_waits.py
+++ b/dotterelpaddle/tests/forwarding/test_waits.py
@@ -67,7 +67,7 @@
     book = TimeoutEstimator()
     book.record_answer_start(route=WHOLE, seconds=0.05)
     before = _first(book, WHOLE)
-    book.gave_up(route=WHOLE)
+    book.record_timeout(route=WHOLE)
     after = _first(book, WHOLE)
     book.record_answer_start(route=WHOLE, seconds=0.05)
 
