--- a/dotterelpaddle/forwarding/attempts.py
+++ b/dotterelpaddle/forwarding/attempts.py
@@ -41,7 +41,7 @@
     from dotterelpaddle.forwarding.reachability import Reachability
     from dotterelpaddle.forwarding.relays import Relay
     from dotterelpaddle.forwarding.repeats import SharedRepeats
-    from dotterelpaddle.forwarding.residency import Residency
+    from dotterelpaddle.forwarding.residency import ResidencyPolicy
     from dotterelpaddle.forwarding.waits import TimeoutEstimator
     from dotterelpaddle.ids import EndpointId
     from dotterelpaddle.owners.placing import OwnersPlacer
@@ -80,7 +80,7 @@
         self,
         *,
         placer: OwnersPlacer,
-        residency: Residency,
+        residency: ResidencyPolicy,
         loads: LoadBook,
         health: HealthTracker,
         reachability: Reachability,
--- a/dotterelpaddle/forwarding/parts.py
+++ b/dotterelpaddle/forwarding/parts.py
@@ -26,7 +26,7 @@
 from dotterelpaddle.forwarding.quiet import EndpointBackoffs
 from dotterelpaddle.forwarding.reachability import Reachability
 from dotterelpaddle.forwarding.repeats import SharedRepeats
-from dotterelpaddle.forwarding.residency import Residency
+from dotterelpaddle.forwarding.residency import ResidencyPolicy
 from dotterelpaddle.forwarding.shares import ShareBook
 from dotterelpaddle.forwarding.signs import EndpointSigns
 from dotterelpaddle.forwarding.view import FleetView
@@ -243,7 +243,7 @@
     )
     attempts = Attempts(
         placer=owners_placer,
-        residency=Residency(view=knowledge.view, regions=settings.regions),
+        residency=ResidencyPolicy(view=knowledge.view, regions=settings.regions),
         loads=knowledge.loads,
         health=knowledge.health,
         reachability=reachability,
--- a/dotterelpaddle/forwarding/residency.py
+++ b/dotterelpaddle/forwarding/residency.py
@@ -12,7 +12,7 @@
     from dotterelpaddle.ids import EndpointId, FailureDomain, Region
 
 
-class Residency:
+class ResidencyPolicy:
     """Tells which endpoints a request must not reach.
 
     Args:
