--- a/dotterelpaddle/forwarding/attempts.py
+++ b/dotterelpaddle/forwarding/attempts.py
@@ -155,7 +155,7 @@
             service=exchange.service,
             request=exchange.request,
             repeatable=exchange.route.retryable,
-            excluded=excluded | self._residency.forbidden(exchange=exchange),
+            excluded=excluded | self._residency.forbidden_endpoints(exchange=exchange),
         )
 
     async def _once(
--- a/dotterelpaddle/forwarding/residency.py
+++ b/dotterelpaddle/forwarding/residency.py
@@ -26,7 +26,9 @@
         self._view = view
         self._regions = regions
 
-    def forbidden(self, *, exchange: ForwardExchange) -> frozenset[EndpointId]:
+    def forbidden_endpoints(
+        self, *, exchange: ForwardExchange
+    ) -> frozenset[EndpointId]:
         """Endpoints outside the regions of the request's route and account.
 
         Where both have some, both bind. An endpoint in a failure domain of which no
