--- a/dotterelpaddle/forwarding/returns.py
+++ b/dotterelpaddle/forwarding/returns.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-REFUSAL_WAIT = 0.3
+DEFAULT_RETRY_AFTER_SECONDS = 0.3
 """Seconds after which a caller may come back where the error names no time."""
 
 CALLERS_MOVED_AFTER = 2.2
@@ -32,7 +32,7 @@
         not_ready_for: Seconds since this router began to report not ready, None if it
             is ready.
     """
-    usual = REFUSAL_WAIT if wait is None else wait
+    usual = DEFAULT_RETRY_AFTER_SECONDS if wait is None else wait
     if not_ready_for is None:
         return usual
     moved_in = CALLERS_MOVED_AFTER - not_ready_for
--- a/dotterelpaddle/tests/forwarding/test_returns.py
+++ b/dotterelpaddle/tests/forwarding/test_returns.py
@@ -11,15 +11,17 @@
 
 from dotterelpaddle.forwarding.returns import (
     CALLERS_MOVED_AFTER,
+    DEFAULT_RETRY_AFTER_SECONDS,
     LONGEST_SHARE,
-    REFUSAL_WAIT,
     return_wait,
 )
 
 
 def _served_after_return(*, budget: float, sent: float) -> bool:
     """Tell whether a caller that isolated routers refused is served on return."""
-    wait = return_wait(wait=REFUSAL_WAIT, time_left=budget, not_ready_for=sent)
+    wait = return_wait(
+        wait=DEFAULT_RETRY_AFTER_SECONDS, time_left=budget, not_ready_for=sent
+    )
     return sent + wait >= CALLERS_MOVED_AFTER and wait <= LONGEST_SHARE * budget
 
 
@@ -42,7 +44,10 @@
 
 def test_caller_of_a_router_in_reach_of_all_is_told_what_the_error_says() -> None:
     assert return_wait(wait=0.5, time_left=12.0, not_ready_for=None) == 0.5
-    assert return_wait(wait=None, time_left=12.0, not_ready_for=None) == REFUSAL_WAIT
+    assert (
+        return_wait(wait=None, time_left=12.0, not_ready_for=None)
+        == DEFAULT_RETRY_AFTER_SECONDS
+    )
 
 
 def test_long_isolated_router_asks_for_no_more_than_the_usual_wait() -> None:
