--- a/dotterelpaddle/forwarding/returns.py
+++ b/dotterelpaddle/forwarding/returns.py
@@ -5,7 +5,7 @@
 DEFAULT_RETRY_AFTER_SECONDS = 0.3
 """Seconds after which a caller may come back where the error names no time."""
 
-CALLERS_MOVED_AFTER = 2.2
+BALANCER_REROUTE_SECONDS = 2.2
 """Seconds after a router reports not ready until the balancer sends its callers
 elsewhere: it asks once a second, and two answers in a row must say so."""
 
@@ -35,5 +35,5 @@
     usual = DEFAULT_RETRY_AFTER_SECONDS if wait is None else wait
     if not_ready_for is None:
         return usual
-    moved_in = CALLERS_MOVED_AFTER - not_ready_for
+    moved_in = BALANCER_REROUTE_SECONDS - not_ready_for
     return max(usual, min(moved_in, LONGEST_SHARE * time_left))
--- a/dotterelpaddle/tests/forwarding/test_returns.py
+++ b/dotterelpaddle/tests/forwarding/test_returns.py
@@ -10,7 +10,7 @@
 import pytest
 
 from dotterelpaddle.forwarding.returns import (
-    CALLERS_MOVED_AFTER,
+    BALANCER_REROUTE_SECONDS,
     DEFAULT_RETRY_AFTER_SECONDS,
     LONGEST_SHARE,
     return_wait,
@@ -22,7 +22,7 @@
     wait = return_wait(
         wait=DEFAULT_RETRY_AFTER_SECONDS, time_left=budget, not_ready_for=sent
     )
-    return sent + wait >= CALLERS_MOVED_AFTER and wait <= LONGEST_SHARE * budget
+    return sent + wait >= BALANCER_REROUTE_SECONDS and wait <= LONGEST_SHARE * budget
 
 
 @pytest.mark.parametrize(
