--- a/dotterelpaddle/forwarding/returns.py
+++ b/dotterelpaddle/forwarding/returns.py
@@ -9,7 +9,7 @@
 """Seconds after a router reports not ready until the balancer sends its callers
 elsewhere: it asks once a second, and two answers in a row must say so."""
 
-LONGEST_SHARE = 1 / 3
+MAX_TIME_LEFT_SHARE = 1 / 3
 """Share of the time that a caller has left after which it must be back: then two
 thirds are left to serve it, and callers are not bound to wait for longer."""
 
@@ -36,4 +36,4 @@
     if not_ready_for is None:
         return usual
     moved_in = BALANCER_REROUTE_SECONDS - not_ready_for
-    return max(usual, min(moved_in, LONGEST_SHARE * time_left))
+    return max(usual, min(moved_in, MAX_TIME_LEFT_SHARE * time_left))
--- a/dotterelpaddle/tests/forwarding/test_returns.py
+++ b/dotterelpaddle/tests/forwarding/test_returns.py
@@ -12,7 +12,7 @@
 from dotterelpaddle.forwarding.returns import (
     BALANCER_REROUTE_SECONDS,
     DEFAULT_RETRY_AFTER_SECONDS,
-    LONGEST_SHARE,
+    MAX_TIME_LEFT_SHARE,
     return_wait,
 )
 
@@ -22,7 +22,9 @@
     wait = return_wait(
         wait=DEFAULT_RETRY_AFTER_SECONDS, time_left=budget, not_ready_for=sent
     )
-    return sent + wait >= BALANCER_REROUTE_SECONDS and wait <= LONGEST_SHARE * budget
+    return (
+        sent + wait >= BALANCER_REROUTE_SECONDS and wait <= MAX_TIME_LEFT_SHARE * budget
+    )
 
 
 @pytest.mark.parametrize(
