--- a/dotterelpaddle/forwarding/app.py
+++ b/dotterelpaddle/forwarding/app.py
@@ -16,7 +16,7 @@
 from dotterelpaddle.forwarding.exchange import ForwardExchange
 from dotterelpaddle.forwarding.relays import PROMISES
 from dotterelpaddle.forwarding.reply import ForwardReply
-from dotterelpaddle.forwarding.returns import return_wait
+from dotterelpaddle.forwarding.returns import retry_after_seconds
 from dotterelpaddle.http_server import ReplyCut
 from dotterelpaddle.logs import get_logger
 
@@ -206,7 +206,7 @@
     ) -> Headers:
         headers = [(b"content-type", b"text/plain; charset=utf-8")]
         if status in PROMISES:
-            wait = return_wait(
+            wait = retry_after_seconds(
                 wait=error.retry_after,
                 time_left=self._time_left(exchange=exchange),
                 not_ready_for=self._not_ready_for,
--- a/dotterelpaddle/forwarding/returns.py
+++ b/dotterelpaddle/forwarding/returns.py
@@ -14,7 +14,7 @@
 thirds are left to serve it, and callers are not bound to wait for longer."""
 
 
-def return_wait(
+def retry_after_seconds(
     *, wait: float | None, time_left: float, not_ready_for: float | None
 ) -> float:
     """Return the seconds after which a refused caller may come back.
