--- a/bench/decisions/model.py
+++ b/bench/decisions/model.py
@@ -21,10 +21,10 @@
 from bench.decisions.rivals import Owners, Predicted, Probes, Reports
 from dotterelpaddle.forwarding.cost import FETCH_SHARE, LOAD_TOKENS
 from dotterelpaddle.forwarding.herding import (
+    LARGE_FLEET_ROUTERS,
     LEAST_NEARNESS,
     LOAD_ALLOWANCE,
     LOAD_MULTIPLE,
-    MANY_ROUTERS,
 )
 
 if TYPE_CHECKING:
@@ -159,7 +159,7 @@
         reports: Reports,
         forget_time: float = math.inf,
     ) -> int:
-        if self._size.routers <= MANY_ROUTERS:
+        if self._size.routers <= LARGE_FLEET_ROUTERS:
             return self._best(range(self._size.endpoints), self._loads, subject, now)
         age = self._dice.uniform(reports.least_age, reports.most_age)
         keep = math.exp(-age / forget_time)
--- a/dotterelpaddle/forwarding/herding.py
+++ b/dotterelpaddle/forwarding/herding.py
@@ -21,7 +21,7 @@
 LOAD_ALLOWANCE = 2.0
 """Requests over the multiple that are allowed, which matters near no load."""
 
-MANY_ROUTERS = 16
+LARGE_FLEET_ROUTERS = 16
 """Routers above which what they do between two reports adds up: with 58 of them an
 endpoint that all hold for the best one gets a dozen requests before any of them
 knows of it."""
--- a/dotterelpaddle/forwarding/placement.py
+++ b/dotterelpaddle/forwarding/placement.py
@@ -13,8 +13,8 @@
 from dotterelpaddle.forwarding.cold import Decider
 from dotterelpaddle.forwarding.cost import prompt_cost
 from dotterelpaddle.forwarding.herding import (
+    LARGE_FLEET_ROUTERS,
     LEAST_NEARNESS,
-    MANY_ROUTERS,
     SAMPLED,
     SAMPLED_PLAIN,
     load_bound,
@@ -277,7 +277,7 @@
             exact: Whether nobody else sends there what these loads don't count yet.
             cached_at: Endpoint elsewhere that has the shared parts of the prompt.
         """
-        many = not exact and self._loads.routers > MANY_ROUTERS
+        many = not exact and self._loads.routers > LARGE_FLEET_ROUTERS
         nearness = self._generator.uniform(LEAST_NEARNESS, 1.0) if many else 1.0
         within = [
             entry
@@ -355,7 +355,7 @@
         exact: bool = False,
     ) -> Choice:
         compared = candidates
-        if not exact and self._loads.routers > MANY_ROUTERS:
+        if not exact and self._loads.routers > LARGE_FLEET_ROUTERS:
             count = min(SAMPLED_PLAIN, len(candidates))
             compared = self._generator.sample(candidates, count)
         entry = min(
--- a/dotterelpaddle/tests/forwarding/test_herding.py
+++ b/dotterelpaddle/tests/forwarding/test_herding.py
@@ -12,9 +12,9 @@
 from dotterelpaddle.forwarding.caches import CacheMap
 from dotterelpaddle.forwarding.health import HealthTracker
 from dotterelpaddle.forwarding.herding import (
+    LARGE_FLEET_ROUTERS,
     LEAST_NEARNESS,
     LOAD_MULTIPLE,
-    MANY_ROUTERS,
     load_bound,
 )
 from dotterelpaddle.forwarding.interface import EndpointsUpdate
@@ -102,21 +102,21 @@
 
 
 def test_prompt_stays_with_its_holder_while_that_has_room() -> None:
-    chosen = _chosen(HOT, routers=MANY_ROUTERS * 3, loads=_loads(holder=MEAN))
+    chosen = _chosen(HOT, routers=LARGE_FLEET_ROUTERS * 3, loads=_loads(holder=MEAN))
 
-    assert chosen == {HOLDER: MANY_ROUTERS * 3}
+    assert chosen == {HOLDER: LARGE_FLEET_ROUTERS * 3}
 
 
 def test_few_routers_fill_the_holder_up_to_the_bound() -> None:
     near = round(LOAD_MULTIPLE * MEAN)
 
-    chosen = _chosen(HOT, routers=MANY_ROUTERS, loads=_loads(holder=near))
+    chosen = _chosen(HOT, routers=LARGE_FLEET_ROUTERS, loads=_loads(holder=near))
 
-    assert chosen == {HOLDER: MANY_ROUTERS}
+    assert chosen == {HOLDER: LARGE_FLEET_ROUTERS}
 
 
 def test_many_routers_send_less_the_nearer_the_holder_is_to_the_bound() -> None:
-    routers = MANY_ROUTERS * 4
+    routers = LARGE_FLEET_ROUTERS * 4
     sent = [
         _chosen(HOT, routers=routers, loads=_loads(holder=load))[HOLDER]
         for load in (MEAN, MEAN + 3, MEAN + 4, round(LOAD_MULTIPLE * MEAN) + 1)
@@ -128,7 +128,7 @@
 
 
 def test_many_routers_send_the_rest_to_several_endpoints() -> None:
-    routers = MANY_ROUTERS * 4
+    routers = LARGE_FLEET_ROUTERS * 4
     full = 3 * MEAN
 
     chosen = _chosen(HOT, routers=routers, loads=_loads(holder=full))
@@ -139,7 +139,7 @@
 
 @pytest.mark.parametrize("count", [3, 20])
 def test_plain_requests_of_many_routers_go_to_several_endpoints(count: int) -> None:
-    routers = MANY_ROUTERS * 4
+    routers = LARGE_FLEET_ROUTERS * 4
     loads = {**dict.fromkeys(ENDPOINTS, 100), ENDPOINTS[1]: 2, ENDPOINTS[2]: 3}
     if count == len(ENDPOINTS):
         loads = {name: 5 - (name == ENDPOINTS[1]) for name in ENDPOINTS}
