--- a/bench/decisions/model.py
+++ b/bench/decisions/model.py
@@ -22,9 +22,9 @@
 from dotterelpaddle.forwarding.cost import FETCH_SHARE, LOAD_TOKENS
 from dotterelpaddle.forwarding.herding import (
     LARGE_FLEET_ROUTERS,
-    LEAST_NEARNESS,
     LOAD_ALLOWANCE,
     LOAD_MULTIPLE,
+    MIN_BOUND_FRACTION,
 )
 
 if TYPE_CHECKING:
@@ -170,7 +170,7 @@
         sampled = min(reports.sampled, len(loads))
         compared = set(self._dice.sample(range(len(loads)), sampled))
         compared |= self._known_holders(subject, known) or {self._home(subject)}
-        nearness = self._dice.uniform(LEAST_NEARNESS, 1.0)
+        nearness = self._dice.uniform(MIN_BOUND_FRACTION, 1.0)
         return self._best(compared, loads, subject, known, nearness=nearness)
 
     def _by_probes(self, now: float, subject: int, reports: Reports, asked: int) -> int:
--- a/dotterelpaddle/forwarding/herding.py
+++ b/dotterelpaddle/forwarding/herding.py
@@ -26,7 +26,7 @@
 endpoint that all hold for the best one gets a dozen requests before any of them
 knows of it."""
 
-LEAST_NEARNESS = 0.4
+MIN_BOUND_FRACTION = 0.4
 """How near to the bound each of many routers goes at least; the rest of the way it
 draws for each request. The nearer an endpoint is to its bound, the fewer of them send
 it more at the same moment."""
--- a/dotterelpaddle/forwarding/placement.py
+++ b/dotterelpaddle/forwarding/placement.py
@@ -14,7 +14,7 @@
 from dotterelpaddle.forwarding.cost import prompt_cost
 from dotterelpaddle.forwarding.herding import (
     LARGE_FLEET_ROUTERS,
-    LEAST_NEARNESS,
+    MIN_BOUND_FRACTION,
     SAMPLED,
     SAMPLED_PLAIN,
     load_bound,
@@ -278,7 +278,7 @@
             cached_at: Endpoint elsewhere that has the shared parts of the prompt.
         """
         many = not exact and self._loads.routers > LARGE_FLEET_ROUTERS
-        nearness = self._generator.uniform(LEAST_NEARNESS, 1.0) if many else 1.0
+        nearness = self._generator.uniform(MIN_BOUND_FRACTION, 1.0) if many else 1.0
         within = [
             entry
             for entry in candidates
--- a/dotterelpaddle/tests/forwarding/test_herding.py
+++ b/dotterelpaddle/tests/forwarding/test_herding.py
@@ -13,8 +13,8 @@
 from dotterelpaddle.forwarding.health import HealthTracker
 from dotterelpaddle.forwarding.herding import (
     LARGE_FLEET_ROUTERS,
-    LEAST_NEARNESS,
     LOAD_MULTIPLE,
+    MIN_BOUND_FRACTION,
     load_bound,
 )
 from dotterelpaddle.forwarding.interface import EndpointsUpdate
@@ -149,7 +149,7 @@
     assert max(chosen.values()) < routers / 2
 
 
-@given(mean=st.floats(0, 100), nearness=st.floats(LEAST_NEARNESS, 1.0))
+@given(mean=st.floats(0, 100), nearness=st.floats(MIN_BOUND_FRACTION, 1.0))
 def test_bound_is_between_the_mean_and_the_whole_bound(
     mean: float, nearness: float
 ) -> None:
