--- a/dotterelpaddle/forwarding/herding.py
+++ b/dotterelpaddle/forwarding/herding.py
@@ -31,7 +31,7 @@
 draws for each request. The nearer an endpoint is to its bound, the fewer of them send
 it more at the same moment."""
 
-SAMPLED = 6
+SAMPLE_SIZE = 6
 """Endpoints that each of many routers compares, beside those with the prompt in their
 cache; others compare others, so that no endpoint is the best one for all."""
 
--- a/dotterelpaddle/forwarding/placement.py
+++ b/dotterelpaddle/forwarding/placement.py
@@ -15,7 +15,7 @@
 from dotterelpaddle.forwarding.herding import (
     LARGE_FLEET_ROUTERS,
     MIN_BOUND_FRACTION,
-    SAMPLED,
+    SAMPLE_SIZE,
     SAMPLED_PLAIN,
     load_bound,
 )
@@ -342,7 +342,7 @@
                 else cached.missing[entry.endpoint] <= cached.least
             )
         ]
-        others = self._generator.sample(entries, min(SAMPLED, len(entries)))
+        others = self._generator.sample(entries, min(SAMPLE_SIZE, len(entries)))
         return holding + [entry for entry in others if entry not in holding]
 
     def _least_loaded(
