--- a/dotterelpaddle/forwarding/herding.py
+++ b/dotterelpaddle/forwarding/herding.py
@@ -35,7 +35,7 @@
 """Endpoints that each of many routers compares, beside those with the prompt in their
 cache; others compare others, so that no endpoint is the best one for all."""
 
-SAMPLED_PLAIN = 2
+PROMPTLESS_SAMPLE_SIZE = 2
 """The same for requests without a prompt, the usual number where loads are old."""
 
 
--- a/dotterelpaddle/forwarding/placement.py
+++ b/dotterelpaddle/forwarding/placement.py
@@ -15,8 +15,8 @@
 from dotterelpaddle.forwarding.herding import (
     LARGE_FLEET_ROUTERS,
     MIN_BOUND_FRACTION,
+    PROMPTLESS_SAMPLE_SIZE,
     SAMPLE_SIZE,
-    SAMPLED_PLAIN,
     load_bound,
 )
 from dotterelpaddle.forwarding.homes import home_of
@@ -356,7 +356,7 @@
     ) -> Choice:
         compared = candidates
         if not exact and self._loads.routers > LARGE_FLEET_ROUTERS:
-            count = min(SAMPLED_PLAIN, len(candidates))
+            count = min(PROMPTLESS_SAMPLE_SIZE, len(candidates))
             compared = self._generator.sample(candidates, count)
         entry = min(
             compared,
