--- a/dotterelpaddle/forwarding/loads.py
+++ b/dotterelpaddle/forwarding/loads.py
@@ -13,7 +13,7 @@
     from dotterelpaddle.ids import EndpointId
 
 
-class Held:
+class InFlightRequest:
     """A request that is counted at an endpoint.
 
     Args:
@@ -69,7 +69,7 @@
         self._changed = observer
 
     @contextmanager
-    def hold(self, *, endpoint: EndpointId, work: int = 0) -> Iterator[Held]:
+    def hold(self, *, endpoint: EndpointId, work: int = 0) -> Iterator[InFlightRequest]:
         """Count a request at an endpoint while the context lasts.
 
         Args:
@@ -77,7 +77,7 @@
             work: Time until it can answer, in tokens read.
         """
         self._change(endpoint, 1)
-        held = Held(reading=self._own_reading, endpoint=endpoint, work=work)
+        held = InFlightRequest(reading=self._own_reading, endpoint=endpoint, work=work)
         try:
             yield held
         finally:
--- a/dotterelpaddle/forwarding/progress.py
+++ b/dotterelpaddle/forwarding/progress.py
@@ -17,7 +17,7 @@
     from dotterelpaddle.clock import Clock
     from dotterelpaddle.dispatch.outcome import Attempt
     from dotterelpaddle.exceptions import EndpointError
-    from dotterelpaddle.forwarding.loads import Held
+    from dotterelpaddle.forwarding.loads import InFlightRequest
     from dotterelpaddle.ids import EndpointId
 
 
@@ -75,7 +75,7 @@
         self.attempt = attempt
         self.begun_at = clock()
         self.first_byte: float | None = None
-        self.held: Held | None = None
+        self.held: InFlightRequest | None = None
         self._clock = clock
 
     def observe(self, evidence: Evidence) -> None:
