--- a/dotterelpaddle/forwarding/loads.py
+++ b/dotterelpaddle/forwarding/loads.py
@@ -30,7 +30,7 @@
         self._work = work
         _add(reading, endpoint, work)
 
-    def begun(self) -> None:
+    def answer_started(self) -> None:
         """Note that the answer has begun, and so that the prompt was read."""
         work, self._work = self._work, 0
         _add(self._reading, self._endpoint, -work)
@@ -81,7 +81,7 @@
         try:
             yield held
         finally:
-            held.begun()
+            held.answer_started()
             self._change(endpoint, -1)
 
     def _change(self, endpoint: EndpointId, count: int) -> None:
--- a/dotterelpaddle/forwarding/progress.py
+++ b/dotterelpaddle/forwarding/progress.py
@@ -87,4 +87,4 @@
         ):
             self.first_byte = self._clock() - self.begun_at
             if self.held is not None:
-                self.held.begun()
+                self.held.answer_started()
--- a/dotterelpaddle/tests/forwarding/test_loads.py
+++ b/dotterelpaddle/tests/forwarding/test_loads.py
@@ -19,7 +19,7 @@
     book, _ = _book()
     with book.hold(endpoint=ENDPOINT, work=700) as held:
         waiting = book.reading()[ENDPOINT]
-        held.begun()
+        held.answer_started()
         begun = book.reading()[ENDPOINT]
         load = book.loads()[ENDPOINT]
 
