--- a/dotterelpaddle/forwarding/attempts.py
+++ b/dotterelpaddle/forwarding/attempts.py
@@ -36,7 +36,7 @@
     from dotterelpaddle.forwarding.crash_guard import CrashGuard
     from dotterelpaddle.forwarding.exchange import ForwardExchange, Result
     from dotterelpaddle.forwarding.health import HealthTracker
-    from dotterelpaddle.forwarding.loads import LoadBook
+    from dotterelpaddle.forwarding.loads import LoadTracker
     from dotterelpaddle.forwarding.metrics import ForwardMetrics
     from dotterelpaddle.forwarding.reachability import Reachability
     from dotterelpaddle.forwarding.relays import Relay
@@ -81,7 +81,7 @@
         *,
         placer: OwnersPlacer,
         residency: ResidencyPolicy,
-        loads: LoadBook,
+        loads: LoadTracker,
         health: HealthTracker,
         reachability: Reachability,
         caches: CacheMap,
--- a/dotterelpaddle/forwarding/loads.py
+++ b/dotterelpaddle/forwarding/loads.py
@@ -36,7 +36,7 @@
         _add(self._reading, self._endpoint, -work)
 
 
-class LoadBook:
+class LoadTracker:
     """Counts of requests in flight.
 
     Args:
--- a/dotterelpaddle/forwarding/metrics.py
+++ b/dotterelpaddle/forwarding/metrics.py
@@ -15,7 +15,7 @@
     from dotterelpaddle.forwarding.crashes import CrashBook
     from dotterelpaddle.forwarding.exchange import ForwardExchange
     from dotterelpaddle.forwarding.follower import Follower
-    from dotterelpaddle.forwarding.loads import LoadBook
+    from dotterelpaddle.forwarding.loads import LoadTracker
     from dotterelpaddle.forwarding.repeats import SharedRepeats
     from dotterelpaddle.forwarding.view import FleetView
     from dotterelpaddle.peers.directory import PeerDirectory
@@ -118,7 +118,7 @@
     """
 
     view: FleetView
-    loads: LoadBook
+    loads: LoadTracker
     repeats: SharedRepeats
     crashes: CrashBook
     directory: PeerDirectory
--- a/dotterelpaddle/forwarding/parts.py
+++ b/dotterelpaddle/forwarding/parts.py
@@ -19,7 +19,7 @@
 from dotterelpaddle.forwarding.health import HealthTracker
 from dotterelpaddle.forwarding.isolation import IsolationDetector
 from dotterelpaddle.forwarding.leaving import LeavingEndpoints
-from dotterelpaddle.forwarding.loads import LoadBook
+from dotterelpaddle.forwarding.loads import LoadTracker
 from dotterelpaddle.forwarding.metrics import ForwardMetrics, MetricsPage, Observed
 from dotterelpaddle.forwarding.notices import EndpointNotices
 from dotterelpaddle.forwarding.placement import ForwardPlacer
@@ -100,7 +100,7 @@
 
     view: FleetView
     shares: ShareBook
-    loads: LoadBook
+    loads: LoadTracker
     health: HealthTracker
     signs: EndpointSigns
     quiet: EndpointBackoffs
@@ -355,7 +355,7 @@
     return Knowledge(
         view=view,
         shares=shares,
-        loads=LoadBook(shares=shares),
+        loads=LoadTracker(shares=shares),
         health=HealthTracker(clock=clock),
         signs=EndpointSigns(clock=clock),
         quiet=EndpointBackoffs(clock=clock),
--- a/dotterelpaddle/forwarding/placement.py
+++ b/dotterelpaddle/forwarding/placement.py
@@ -32,7 +32,7 @@
     from dotterelpaddle.forwarding.cold import ColdEndpoints
     from dotterelpaddle.forwarding.health import HealthTracker
     from dotterelpaddle.forwarding.interface import HasPrompt
-    from dotterelpaddle.forwarding.loads import LoadBook
+    from dotterelpaddle.forwarding.loads import LoadTracker
     from dotterelpaddle.forwarding.model import EndpointEntry
     from dotterelpaddle.forwarding.quiet import EndpointBackoffs
     from dotterelpaddle.forwarding.reachability import Reachability
@@ -87,7 +87,7 @@
         self,
         *,
         view: FleetView,
-        loads: LoadBook,
+        loads: LoadTracker,
         health: HealthTracker,
         reachability: Reachability,
         quiet: EndpointBackoffs,
--- a/dotterelpaddle/owners/owner.py
+++ b/dotterelpaddle/owners/owner.py
@@ -17,7 +17,7 @@
 if TYPE_CHECKING:
     from collections import Counter
 
-    from dotterelpaddle.forwarding.loads import LoadBook
+    from dotterelpaddle.forwarding.loads import LoadTracker
     from dotterelpaddle.forwarding.placement import ForwardPlacer
     from dotterelpaddle.forwarding.view import FleetView
     from dotterelpaddle.ids import EndpointId, FailureDomain, RouterId
@@ -48,7 +48,7 @@
         view: FleetView,
         placer: ForwardPlacer,
         shards: ShardMap,
-        loads: LoadBook,
+        loads: LoadTracker,
         counts: ShardCounts,
         failure_domain: FailureDomain,
     ) -> None:
--- a/dotterelpaddle/owners/telling.py
+++ b/dotterelpaddle/owners/telling.py
@@ -14,7 +14,7 @@
 
 if TYPE_CHECKING:
     from dotterelpaddle.clock import Clock
-    from dotterelpaddle.forwarding.loads import LoadBook
+    from dotterelpaddle.forwarding.loads import LoadTracker
     from dotterelpaddle.ids import EndpointId, FailureDomain, RouterId
     from dotterelpaddle.owners.shards import ShardMap
 
@@ -47,7 +47,7 @@
     """
 
     def __init__(
-        self, *, router: RouterId, loads: LoadBook, shards: ShardMap, clock: Clock
+        self, *, router: RouterId, loads: LoadTracker, shards: ShardMap, clock: Clock
     ) -> None:
         self._clock = clock
         self._router = router
--- a/dotterelpaddle/peers/exchange.py
+++ b/dotterelpaddle/peers/exchange.py
@@ -29,7 +29,7 @@
     from dotterelpaddle.forwarding.caches import CacheMap
     from dotterelpaddle.forwarding.crashes import CrashBook
     from dotterelpaddle.forwarding.follower import Follower
-    from dotterelpaddle.forwarding.loads import LoadBook
+    from dotterelpaddle.forwarding.loads import LoadTracker
     from dotterelpaddle.forwarding.repeats import SharedRepeats
     from dotterelpaddle.forwarding.shares import ShareBook
     from dotterelpaddle.forwarding.uses import Use
@@ -88,7 +88,7 @@
         self,
         *,
         view: FleetView,
-        loads: LoadBook,
+        loads: LoadTracker,
         repeats: SharedRepeats,
         shares: ShareBook,
         caches: CacheMap,
--- a/dotterelpaddle/tests/forwarding/test_cold.py
+++ b/dotterelpaddle/tests/forwarding/test_cold.py
@@ -25,7 +25,7 @@
 from dotterelpaddle.forwarding.evacuations import EvacuationSnapshot
 from dotterelpaddle.forwarding.health import HealthTracker
 from dotterelpaddle.forwarding.interface import EndpointsUpdate
-from dotterelpaddle.forwarding.loads import LoadBook
+from dotterelpaddle.forwarding.loads import LoadTracker
 from dotterelpaddle.forwarding.model import (
     CallerLimits,
     EndpointEntry,
@@ -102,7 +102,7 @@
         )
         self.placer = ForwardPlacer(
             view=self.view,
-            loads=LoadBook(shares=shares),
+            loads=LoadTracker(shares=shares),
             health=HealthTracker(clock=self._clock),
             reachability=Reachability(
                 view=self.view,
--- a/dotterelpaddle/tests/forwarding/test_herding.py
+++ b/dotterelpaddle/tests/forwarding/test_herding.py
@@ -18,7 +18,7 @@
     load_bound,
 )
 from dotterelpaddle.forwarding.interface import EndpointsUpdate
-from dotterelpaddle.forwarding.loads import LoadBook
+from dotterelpaddle.forwarding.loads import LoadTracker
 from dotterelpaddle.forwarding.placement import ForwardPlacer
 from dotterelpaddle.forwarding.quiet import EndpointBackoffs
 from dotterelpaddle.forwarding.reachability import Reachability
@@ -65,7 +65,7 @@
     caches.note(endpoint=HOLDER, request=HOT)
     return ForwardPlacer(
         view=view,
-        loads=LoadBook(shares=shares),
+        loads=LoadTracker(shares=shares),
         health=HealthTracker(clock=lambda: 0.0),
         reachability=Reachability(
             view=view,
--- a/dotterelpaddle/tests/forwarding/test_loads.py
+++ b/dotterelpaddle/tests/forwarding/test_loads.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from dotterelpaddle.forwarding.loads import LoadBook
+from dotterelpaddle.forwarding.loads import LoadTracker
 from dotterelpaddle.forwarding.shares import Share, ShareBook
 from dotterelpaddle.ids import EndpointId, FailureDomain, RouterId
 
@@ -10,9 +10,9 @@
 ENDPOINT = EndpointId("engine-1")
 
 
-def _book() -> tuple[LoadBook, ShareBook]:
+def _book() -> tuple[LoadTracker, ShareBook]:
     shares = ShareBook(failure_domain=HERE, clock=lambda: 0.0)
-    return LoadBook(shares=shares), shares
+    return LoadTracker(shares=shares), shares
 
 
 def test_prompt_waits_until_its_answer_begins() -> None:
--- a/dotterelpaddle/tests/forwarding/test_placement.py
+++ b/dotterelpaddle/tests/forwarding/test_placement.py
@@ -23,7 +23,7 @@
     EndpointsUpdate,
     ForwardRequest,
 )
-from dotterelpaddle.forwarding.loads import LoadBook
+from dotterelpaddle.forwarding.loads import LoadTracker
 from dotterelpaddle.forwarding.model import EndpointEntry, EndpointState
 from dotterelpaddle.forwarding.placement import ForwardPlacer
 from dotterelpaddle.forwarding.quiet import EndpointBackoffs
@@ -71,7 +71,7 @@
 
         view = FleetView(clock=clock)
         shares = ShareBook(failure_domain=HERE, clock=clock)
-        loads, health = LoadBook(shares=shares), HealthTracker(clock=clock)
+        loads, health = LoadTracker(shares=shares), HealthTracker(clock=clock)
         caches = CacheMap(clock=clock)
         reachability = Reachability(
             view=view,
--- a/dotterelpaddle/tests/forwarding/test_starts.py
+++ b/dotterelpaddle/tests/forwarding/test_starts.py
@@ -12,7 +12,7 @@
 from dotterelpaddle.forwarding.caches import CacheMap
 from dotterelpaddle.forwarding.health import HealthTracker
 from dotterelpaddle.forwarding.interface import EndpointsUpdate
-from dotterelpaddle.forwarding.loads import LoadBook
+from dotterelpaddle.forwarding.loads import LoadTracker
 from dotterelpaddle.forwarding.model import EndpointState
 from dotterelpaddle.forwarding.shares import ShareBook
 from dotterelpaddle.forwarding.unusable import UnusableEntries
@@ -200,7 +200,7 @@
     view = FleetView(clock=lambda: 0.0)
     caches, health = CacheMap(clock=lambda: 0.0), HealthTracker(clock=lambda: 0.0)
     shares = ShareBook(failure_domain=FailureDomain("here"), clock=lambda: 0.0)
-    loads = LoadBook(shares=shares)
+    loads = LoadTracker(shares=shares)
     _hear(view, (1, 0))
     (before,) = view.entries
     caches.note_part(endpoint=before.endpoint, part=7)
--- a/dotterelpaddle/tests/owners/world.py
+++ b/dotterelpaddle/tests/owners/world.py
@@ -10,7 +10,7 @@
 from dotterelpaddle.forwarding.caches import CacheMap
 from dotterelpaddle.forwarding.health import HealthTracker
 from dotterelpaddle.forwarding.interface import EndpointsUpdate
-from dotterelpaddle.forwarding.loads import LoadBook
+from dotterelpaddle.forwarding.loads import LoadTracker
 from dotterelpaddle.forwarding.placement import ForwardPlacer
 from dotterelpaddle.forwarding.quiet import EndpointBackoffs
 from dotterelpaddle.forwarding.reachability import Reachability
@@ -74,7 +74,7 @@
     def restart_owner(self) -> None:
         """Let another router own the shard, which knows nothing yet."""
         self.shares = ShareBook(failure_domain=HERE, clock=self.clock)
-        loads = LoadBook(shares=self.shares)
+        loads = LoadTracker(shares=self.shares)
         self.caches = CacheMap(clock=self.clock)
         self.counts = ShardCounts(clock=self.clock)
         self.owner = Owner(
@@ -109,7 +109,7 @@
     def __init__(self, *, name: str, world: World) -> None:
         self._world = world
         shares = ShareBook(failure_domain=HERE, clock=world.clock)
-        self.loads = LoadBook(shares=shares)
+        self.loads = LoadTracker(shares=shares)
         self.requests = OwnRequests(
             router=RouterId(name),
             loads=self.loads,
--- a/dotterelpaddle/tests/peers/fleet.py
+++ b/dotterelpaddle/tests/peers/fleet.py
@@ -17,7 +17,7 @@
 
 if TYPE_CHECKING:
     from dotterelpaddle.forwarding.caches import CacheMap
-    from dotterelpaddle.forwarding.loads import LoadBook
+    from dotterelpaddle.forwarding.loads import LoadTracker
     from dotterelpaddle.forwarding.repeats import SharedRepeats
     from dotterelpaddle.forwarding.shares import ShareBook
     from dotterelpaddle.peers.directory import PeerDirectory
@@ -34,7 +34,7 @@
     name: PeerName
     directory: PeerDirectory
     shares: ShareBook
-    loads: LoadBook
+    loads: LoadTracker
     repeats: SharedRepeats
     caches: CacheMap
     plan: ReportPlan
