--- a/dotterelpaddle/forwarding/loads.py
+++ b/dotterelpaddle/forwarding/loads.py
@@ -55,7 +55,7 @@
         return self._own
 
     @property
-    def own_reading(self) -> Mapping[EndpointId, int]:
+    def own_queued_tokens(self) -> Mapping[EndpointId, int]:
         """Tokens that this router's requests wait to have read, by endpoint."""
         return self._own_reading
 
--- a/dotterelpaddle/peers/exchange.py
+++ b/dotterelpaddle/peers/exchange.py
@@ -198,7 +198,7 @@
             endpoints_tag=self._view.endpoints_tag,
             share=Share(
                 loads=self._loads.own,
-                reading=self._loads.own_reading,
+                reading=self._loads.own_queued_tokens,
                 repeats=self._repeats.counts(),
             ),
             routers=self._plan.routers,
--- a/dotterelpaddle/tests/forwarding/test_loads.py
+++ b/dotterelpaddle/tests/forwarding/test_loads.py
@@ -34,7 +34,7 @@
         pass
 
     assert not book.own
-    assert not book.own_reading
+    assert not book.own_queued_tokens
 
 
 def test_what_waits_is_added_up_over_all_routers() -> None:
@@ -46,5 +46,5 @@
     )
     with book.hold(endpoint=ENDPOINT, work=700):
         assert book.reading()[ENDPOINT] == 1000
-        own = Share(loads=book.own, reading=book.own_reading)
+        own = Share(loads=book.own, reading=book.own_queued_tokens)
         assert shares.own_domain(own=own).reading == {ENDPOINT: 1000}
