--- a/dotterelpaddle/forwarding/loads.py
+++ b/dotterelpaddle/forwarding/loads.py
@@ -96,7 +96,7 @@
             loads.update(share.loads)
         return loads
 
-    def reading(self) -> Counter[EndpointId]:
+    def queued_tokens(self) -> Counter[EndpointId]:
         """Tokens that wait to be read by endpoint, as far as this router knows."""
         reading = Counter(self._own_reading)
         for share in self._shares.in_force():
--- a/dotterelpaddle/forwarding/placement.py
+++ b/dotterelpaddle/forwarding/placement.py
@@ -295,7 +295,7 @@
             within = self._sampled(entries=within, cached=cached, home=home)
         home_tokens = MANY_HOME_TOKENS if many or exact else HOME_TOKENS
 
-        reading = self._loads.reading()
+        reading = self._loads.queued_tokens()
 
         def _cost(entry: EndpointEntry) -> float:
             cost = prompt_cost(
--- a/dotterelpaddle/tests/forwarding/test_loads.py
+++ b/dotterelpaddle/tests/forwarding/test_loads.py
@@ -18,14 +18,14 @@
 def test_prompt_waits_until_its_answer_begins() -> None:
     book, _ = _book()
     with book.hold(endpoint=ENDPOINT, work=700) as held:
-        waiting = book.reading()[ENDPOINT]
+        waiting = book.queued_tokens()[ENDPOINT]
         held.answer_started()
-        begun = book.reading()[ENDPOINT]
+        begun = book.queued_tokens()[ENDPOINT]
         load = book.loads()[ENDPOINT]
 
     assert (waiting, begun, load) == (700, 0, 1)
     assert not book.loads()
-    assert not book.reading()
+    assert not book.queued_tokens()
 
 
 def test_request_that_ends_without_an_answer_waits_no_more() -> None:
@@ -45,6 +45,6 @@
         share=Share(loads={ENDPOINT: 2}, reading={ENDPOINT: 300}),
     )
     with book.hold(endpoint=ENDPOINT, work=700):
-        assert book.reading()[ENDPOINT] == 1000
+        assert book.queued_tokens()[ENDPOINT] == 1000
         own = Share(loads=book.own, reading=book.own_queued_tokens)
         assert shares.own_domain(own=own).reading == {ENDPOINT: 1000}
