--- a/dotterelpaddle/forwarding/loads.py
+++ b/dotterelpaddle/forwarding/loads.py
@@ -69,7 +69,9 @@
         self._changed = observer
 
     @contextmanager
-    def hold(self, *, endpoint: EndpointId, work: int = 0) -> Iterator[InFlightRequest]:
+    def track(
+        self, *, endpoint: EndpointId, work: int = 0
+    ) -> Iterator[InFlightRequest]:
         """Count a request at an endpoint while the context lasts.
 
         Args:
--- a/dotterelpaddle/tests/forwarding/test_aggregation.py
+++ b/dotterelpaddle/tests/forwarding/test_aggregation.py
@@ -62,9 +62,9 @@
         books = [router.parts.knowledge.loads for router in fleet.routers]
         endpoint = EndpointId("runner-1")
         with (
-            books[0].hold(endpoint=endpoint),
-            books[1].hold(endpoint=endpoint),
-            books[member].hold(endpoint=endpoint),
+            books[0].track(endpoint=endpoint),
+            books[1].track(endpoint=endpoint),
+            books[member].track(endpoint=endpoint),
         ):
             await until(lambda: all(book.loads()[endpoint] == 3 for book in books))
 
--- a/dotterelpaddle/tests/forwarding/test_news.py
+++ b/dotterelpaddle/tests/forwarding/test_news.py
@@ -205,7 +205,7 @@
     async with run_fleet(routers=2) as fleet:
         first, second = (router.parts.knowledge for router in fleet.routers)
         endpoint = EndpointId("runner-1")
-        with first.loads.hold(endpoint=endpoint):
+        with first.loads.track(endpoint=endpoint):
             await until(lambda: second.loads.loads()[endpoint] == 1)
         await until(lambda: second.loads.loads()[endpoint] == 0)
 
--- a/dotterelpaddle/tests/forwarding/test_starts.py
+++ b/dotterelpaddle/tests/forwarding/test_starts.py
@@ -207,7 +207,7 @@
     health.record_replaced(entry=before)
     health.record_hard_failure(entry=before, cause="broke off")
 
-    with loads.hold(endpoint=before.endpoint):
+    with loads.track(endpoint=before.endpoint):
         _hear(view, (2, 5))
         (after,) = view.entries
 
--- a/dotterelpaddle/tests/owners/test_routers.py
+++ b/dotterelpaddle/tests/owners/test_routers.py
@@ -112,7 +112,7 @@
         counts = fleet.routers[OWNER].parts.owners._owner._counts
         loads = fleet.routers[ASKING].parts.knowledge.loads
         endpoint = fleet.routers[ASKING].parts.knowledge.view.entries[0].endpoint
-        with loads.hold(endpoint=endpoint):
+        with loads.track(endpoint=endpoint):
             await until(lambda: counts.loads.get(endpoint) == 1)
         await until(lambda: not counts.loads)
 
--- a/dotterelpaddle/tests/owners/world.py
+++ b/dotterelpaddle/tests/owners/world.py
@@ -159,7 +159,7 @@
 
     def begin(self, *, endpoint: EndpointId) -> None:
         stack = ExitStack()
-        stack.enter_context(self.loads.hold(endpoint=endpoint))
+        stack.enter_context(self.loads.track(endpoint=endpoint))
         self.in_flight.append(stack)
 
     def end(self, index: int) -> None:
--- a/dotterelpaddle/tests/peers/test_plan.py
+++ b/dotterelpaddle/tests/peers/test_plan.py
@@ -37,7 +37,7 @@
     for number, node in enumerate(fleet.nodes):
         count = 1 + number % 3
         for _ in range(count):
-            fleet.held.enter_context(node.loads.hold(endpoint=A))
+            fleet.held.enter_context(node.loads.track(endpoint=A))
         held += count
     return held
 
