--- a/dotterelpaddle/forwarding/unusable.py
+++ b/dotterelpaddle/forwarding/unusable.py
@@ -13,7 +13,7 @@
 
 log = get_logger(name=__name__)
 
-MOST_REMEMBERED = 1000
+MAX_REMEMBERED_ENTRIES = 1000
 """Entries whose faults are remembered, 200 KB at most: a writer that renames its
 entries with each write is told of again, and fills no memory."""
 
@@ -36,7 +36,7 @@
             return
         self._causes[name] = error.message
         self._causes.move_to_end(name)
-        if len(self._causes) > MOST_REMEMBERED:
+        if len(self._causes) > MAX_REMEMBERED_ENTRIES:
             self._causes.popitem(last=False)
         log.error(
             "endpoint_unusable",
--- a/dotterelpaddle/tests/platform/test_rows.py
+++ b/dotterelpaddle/tests/platform/test_rows.py
@@ -94,11 +94,11 @@
     rows = EntryRows(documents=PlatformDocuments())
     rows._unusable = entries
 
-    for number in range(unusable.MOST_REMEMBERED + 10):
+    for number in range(unusable.MAX_REMEMBERED_ENTRIES + 10):
         rows.decode(rows=[_row(f"foreign-{number}", number + 1, {})])
 
-    assert len(entries._causes) == unusable.MOST_REMEMBERED
-    assert len(lines.lines) == unusable.MOST_REMEMBERED + 10
+    assert len(entries._causes) == unusable.MAX_REMEMBERED_ENTRIES
+    assert len(lines.lines) == unusable.MAX_REMEMBERED_ENTRIES + 10
 
 
 @given(st.binary(max_size=64))
