--- a/dotterelpaddle/forwarding/unusable.py
+++ b/dotterelpaddle/forwarding/unusable.py
@@ -28,7 +28,7 @@
     def __init__(self) -> None:
         self._causes: OrderedDict[EndpointName, str] = OrderedDict()
 
-    def note(
+    def record(
         self, *, name: EndpointName, revision: Revision, error: RecordError
     ) -> None:
         """Note an entry that can't be used."""
--- a/dotterelpaddle/peers/snapshot.py
+++ b/dotterelpaddle/peers/snapshot.py
@@ -200,7 +200,7 @@
                 name=EndpointName(name), document=document.encode(), revision=revision
             )
         except RecordError as error:
-            unusable.note(name=EndpointName(name), revision=revision, error=error)
+            unusable.record(name=EndpointName(name), revision=revision, error=error)
             removed[EndpointName(name)] = revision
             continue
         entries.append(entry)
--- a/dotterelpaddle/platform/rows.py
+++ b/dotterelpaddle/platform/rows.py
@@ -58,7 +58,7 @@
                 name=name, document=row_value(row=row), revision=revision
             )
         except RecordError as error:
-            self._unusable.note(name=name, revision=revision, error=error)
+            self._unusable.record(name=name, revision=revision, error=error)
             return None
         self._unusable.forget(name=name)
         return entry
