--- a/dotterelpaddle/forwarding/routes.py
+++ b/dotterelpaddle/forwarding/routes.py
@@ -24,6 +24,6 @@
     }
 
 
-def used_services(*, routes: Iterable[ForwardRoute]) -> frozenset[ServiceName]:
+def routed_services(*, routes: Iterable[ForwardRoute]) -> frozenset[ServiceName]:
     """Services that any route sends requests to."""
     return frozenset(each.service for route in routes for each in route.services)
--- a/dotterelpaddle/forwarding/view.py
+++ b/dotterelpaddle/forwarding/view.py
@@ -21,7 +21,7 @@
     endpoint_id,
 )
 from dotterelpaddle.forwarding.removals import RemovedEntries
-from dotterelpaddle.forwarding.routes import routes_by_host, used_services
+from dotterelpaddle.forwarding.routes import routed_services, routes_by_host
 from dotterelpaddle.ids import Revision
 from dotterelpaddle.logs import get_logger
 
@@ -259,7 +259,7 @@
         )
         self._configuration = configuration
         self._routes = routes_by_host(routes=configuration.routes)
-        self._used_services = used_services(routes=configuration.routes)
+        self._used_services = routed_services(routes=configuration.routes)
         self._note_complete()
         return True
 
