--- a/dotterelpaddle/forwarding/placement.py
+++ b/dotterelpaddle/forwarding/placement.py
@@ -39,7 +39,7 @@
     from dotterelpaddle.forwarding.view import FleetView
     from dotterelpaddle.ids import EndpointId, FailureDomain, ServiceName
 
-LEAST_FETCH = 256
+MIN_FETCH_TOKENS = 256
 """Shared prompt tokens below which a fetch, which takes 5 ms to set up, does not
 beat reading them."""
 
@@ -316,7 +316,7 @@
             ]
             entry = min(spreading, key=_cost, default=entry)
         lacks = cached.missing[entry.endpoint]
-        fetch = lacks - cached.least >= LEAST_FETCH
+        fetch = lacks - cached.least >= MIN_FETCH_TOKENS
         return Choice(
             entry=entry,
             reason=ChoiceReason.LEAST_COST if lacks else ChoiceReason.CACHED,
