--- a/dotterelpaddle/forwarding/placement.py
+++ b/dotterelpaddle/forwarding/placement.py
@@ -43,7 +43,7 @@
 """Shared prompt tokens below which a fetch, which takes 5 ms to set up, does not
 beat reading them."""
 
-SPREAD_TOKENS = 100
+MAX_DOMAIN_SPREAD_TOKENS = 100
 """Prompt tokens, one request of load, that a fetch into a failure domain without the
 prompt may cost more than one into another: the loss of a domain then costs less."""
 
@@ -308,7 +308,7 @@
 
         entry = min(within, key=_cost)
         if cached.missing[entry.endpoint] > cached.least:
-            bar = _cost(entry) + SPREAD_TOKENS
+            bar = _cost(entry) + MAX_DOMAIN_SPREAD_TOKENS
             spreading = [
                 each
                 for each in within
