--- a/dotterelpaddle/forwarding/placement.py
+++ b/dotterelpaddle/forwarding/placement.py
@@ -47,7 +47,7 @@
 """Prompt tokens, one request of load, that a fetch into a failure domain without the
 prompt may cost more than one into another: the loss of a domain then costs less."""
 
-HOME_TOKENS = 150
+AFFINITY_TOKENS = 150
 """Prompt tokens by which the home of a part that nobody has is favoured, so that
 routers that see it at the same moment send it to the same endpoint."""
 
@@ -293,7 +293,7 @@
         )
         if many:
             within = self._sampled(entries=within, cached=cached, home=home)
-        home_tokens = MANY_HOME_TOKENS if many or exact else HOME_TOKENS
+        home_tokens = MANY_HOME_TOKENS if many or exact else AFFINITY_TOKENS
 
         reading = self._loads.queued_tokens()
 
