--- a/dotterelpaddle/forwarding/placement.py
+++ b/dotterelpaddle/forwarding/placement.py
@@ -51,7 +51,7 @@
 """Prompt tokens by which the home of a part that nobody has is favoured, so that
 routers that see it at the same moment send it to the same endpoint."""
 
-MANY_HOME_TOKENS = 1000
+LARGE_FLEET_AFFINITY_TOKENS = 1000
 """Instead of HOME_TOKENS with many routers, which hear of a prompt that was read
 half a second later than few do. After a start of all of them most prompts are so found
 again before engines were asked what they have."""
@@ -293,7 +293,7 @@
         )
         if many:
             within = self._sampled(entries=within, cached=cached, home=home)
-        home_tokens = MANY_HOME_TOKENS if many or exact else AFFINITY_TOKENS
+        home_tokens = LARGE_FLEET_AFFINITY_TOKENS if many or exact else AFFINITY_TOKENS
 
         reading = self._loads.queued_tokens()
 
