--- a/dotterelpaddle/forwarding/placement.py
+++ b/dotterelpaddle/forwarding/placement.py
@@ -56,7 +56,7 @@
 half a second later than few do. After a start of all of them most prompts are so found
 again before engines were asked what they have."""
 
-UNREPEATABLE_RISK = 10.0
+NON_RETRYABLE_FAILURE_LOAD = 10.0
 """Requests of load that weigh as much as certain failure, for a request that can't
 be repeated: a share of failures of a fifth weighs two requests."""
 
@@ -142,7 +142,7 @@
             service=service, request=request, excluded=excluded
         )
         loads = self._loads.loads()
-        risk = REPEATABLE_RISK if repeatable else UNREPEATABLE_RISK
+        risk = REPEATABLE_RISK if repeatable else NON_RETRYABLE_FAILURE_LOAD
         mean = sum(loads[entry.endpoint] for entry in left) / len(left)
         candidates = self._cold.with_capacity(entries=left, decider=decider)
         if not candidates:
@@ -206,7 +206,7 @@
         )
         if not counted:
             return None
-        risk = REPEATABLE_RISK if repeatable else UNREPEATABLE_RISK
+        risk = REPEATABLE_RISK if repeatable else NON_RETRYABLE_FAILURE_LOAD
         choice = None
         if shared_parts(request=request):
             choice = self._least_cost(
