--- a/dotterelpaddle/forwarding/placement.py
+++ b/dotterelpaddle/forwarding/placement.py
@@ -64,7 +64,7 @@
 """Seconds after which a caller may come back when only cold endpoints are left, which
 have got what they bear in a second."""
 
-REPEATABLE_RISK = 3.0
+RETRYABLE_FAILURE_LOAD = 3.0
 """The same for a request that can be repeated at the cost of time."""
 
 
@@ -142,7 +142,7 @@
             service=service, request=request, excluded=excluded
         )
         loads = self._loads.loads()
-        risk = REPEATABLE_RISK if repeatable else NON_RETRYABLE_FAILURE_LOAD
+        risk = RETRYABLE_FAILURE_LOAD if repeatable else NON_RETRYABLE_FAILURE_LOAD
         mean = sum(loads[entry.endpoint] for entry in left) / len(left)
         candidates = self._cold.with_capacity(entries=left, decider=decider)
         if not candidates:
@@ -206,7 +206,7 @@
         )
         if not counted:
             return None
-        risk = REPEATABLE_RISK if repeatable else NON_RETRYABLE_FAILURE_LOAD
+        risk = RETRYABLE_FAILURE_LOAD if repeatable else NON_RETRYABLE_FAILURE_LOAD
         choice = None
         if shared_parts(request=request):
             choice = self._least_cost(
