--- a/dotterelpaddle/forwarding/placement.py
+++ b/dotterelpaddle/forwarding/placement.py
@@ -60,7 +60,7 @@
 """Requests of load that weigh as much as certain failure, for a request that can't
 be repeated: a share of failures of a fifth weighs two requests."""
 
-COLD_WAIT = 0.5
+COLD_RETRY_AFTER_SECONDS = 0.5
 """Seconds after which a caller may come back when only cold endpoints are left, which
 have got what they bear in a second."""
 
@@ -149,7 +149,7 @@
             raise NoEndpoint(
                 f"the {len(left)} endpoints of service '{service}' that are left are "
                 "cold and have got what they bear",
-                retry_after=COLD_WAIT,
+                retry_after=COLD_RETRY_AFTER_SECONDS,
             )
         choice = None
         if shared_parts(request=request):
