--- a/dotterelpaddle/forwarding/placement.py
+++ b/dotterelpaddle/forwarding/placement.py
@@ -240,9 +240,9 @@
     def _counted(self, *, choice: Choice, request: HasPrompt) -> Choice:
         """Count a request where it goes, if that is cold, and note its prompt there."""
         self._cold.record_request(entry=choice.entry)
-        return self.noted(choice=choice, request=request)
+        return self.record_choice(choice=choice, request=request)
 
-    def noted(self, *, choice: Choice, request: HasPrompt) -> Choice:
+    def record_choice(self, *, choice: Choice, request: HasPrompt) -> Choice:
         """Note that a request goes there, before it is sent.
 
         So those beside it, which share its prompt, go there too.
--- a/dotterelpaddle/owners/placing.py
+++ b/dotterelpaddle/owners/placing.py
@@ -194,7 +194,7 @@
             ),
             decided_by=owner,
         )
-        return self._placer.noted(choice=choice, request=request)
+        return self._placer.record_choice(choice=choice, request=request)
 
 
 def _key(*, service: ServiceName, request: HasPrompt) -> int:
