--- a/dotterelpaddle/forwarding/placement.py
+++ b/dotterelpaddle/forwarding/placement.py
@@ -227,7 +227,9 @@
                 return None
         return self._counted(choice=choice, request=request)
 
-    def holder(self, *, service: ServiceName, request: HasPrompt) -> EndpointId | None:
+    def cache_holder(
+        self, *, service: ServiceName, request: HasPrompt
+    ) -> EndpointId | None:
         """The endpoint that has all shared parts of a prompt, None if none has."""
         candidates = self._view.ready(service=service)
         if not candidates or not shared_parts(request=request):
--- a/dotterelpaddle/owners/owner.py
+++ b/dotterelpaddle/owners/owner.py
@@ -84,7 +84,7 @@
             log.info("grant_refused", router=question.held.router, cause=error.message)
             return Grant(number=question.number)
         if choice is None:
-            holder = self._placer.holder(service=wanted.service, request=wanted)
+            holder = self._placer.cache_holder(service=wanted.service, request=wanted)
             return Grant(number=question.number, fetch_from=holder)
         endpoint = choice.entry.endpoint
         self._counts.granted(
