--- a/dotterelpaddle/forwarding/candidates.py
+++ b/dotterelpaddle/forwarding/candidates.py
@@ -17,7 +17,7 @@
     from dotterelpaddle.forwarding.view import FleetView
     from dotterelpaddle.ids import EndpointId, ServiceName
 
-NO_ENDPOINT_WAIT = 0.3
+NO_ENDPOINT_RETRY_AFTER_SECONDS = 0.3
 """Seconds after which a caller may come back when no endpoint is known.
 
 A starting endpoint registers within a second or two, others take over at once.
@@ -121,7 +121,7 @@
         if listed and not self._view.evacuations.exclude_evacuated(entries=listed):
             return EVACUATED_WAIT
         quiet = self._quiet.shortest_wait(entries=self._view.ready(service=service))
-        return NO_ENDPOINT_WAIT if fresh or quiet is None else quiet
+        return NO_ENDPOINT_RETRY_AFTER_SECONDS if fresh or quiet is None else quiet
 
     def _fresh(
         self,
