--- a/dotterelpaddle/forwarding/candidates.py
+++ b/dotterelpaddle/forwarding/candidates.py
@@ -23,7 +23,7 @@
 A starting endpoint registers within a second or two, others take over at once.
 """
 
-EVACUATED_WAIT = 1.0
+EVACUATED_RETRY_AFTER_SECONDS = 1.0
 """The same when all endpoints of a service are in evacuated failure domains."""
 
 
@@ -119,7 +119,7 @@
         """
         listed = self._view.registered(service=service)
         if listed and not self._view.evacuations.exclude_evacuated(entries=listed):
-            return EVACUATED_WAIT
+            return EVACUATED_RETRY_AFTER_SECONDS
         quiet = self._quiet.shortest_wait(entries=self._view.ready(service=service))
         return NO_ENDPOINT_RETRY_AFTER_SECONDS if fresh or quiet is None else quiet
 
--- a/dotterelpaddle/tests/forwarding/test_evacuation.py
+++ b/dotterelpaddle/tests/forwarding/test_evacuation.py
@@ -14,7 +14,7 @@
 import pytest
 
 from dotterelpaddle.address import Address
-from dotterelpaddle.forwarding.candidates import EVACUATED_WAIT
+from dotterelpaddle.forwarding.candidates import EVACUATED_RETRY_AFTER_SECONDS
 from dotterelpaddle.platform.names import Header, Table
 from dotterelpaddle.tests.forwarding.harness import run_fleet, until
 
@@ -117,5 +117,5 @@
         headers = {name.lower(): value for name, value in answer.headers}
 
         assert answer.status == 503
-        assert float(headers[Header.RETRY_AFTER]) == EVACUATED_WAIT
+        assert float(headers[Header.RETRY_AFTER]) == EVACUATED_RETRY_AFTER_SECONDS
         assert not any(each.received for each in fleet.runners.values())
