--- a/dotterelpaddle/forwarding/candidates.py
+++ b/dotterelpaddle/forwarding/candidates.py
@@ -74,7 +74,7 @@
             and not self._quiet.is_backing_off(endpoint=entry.endpoint)
         ]
 
-    def any_left(
+    def usable_or_fallback(
         self,
         *,
         service: ServiceName,
--- a/dotterelpaddle/forwarding/placement.py
+++ b/dotterelpaddle/forwarding/placement.py
@@ -138,7 +138,7 @@
             NoEndpoint: If there is none that takes work, or all that are left are
                 cold and have got what they bear.
         """
-        left = self._candidates.any_left(
+        left = self._candidates.usable_or_fallback(
             service=service, request=request, excluded=excluded
         )
         loads = self._loads.loads()
@@ -196,7 +196,7 @@
         Raises:
             NoEndpoint: If there is none that takes work anywhere.
         """
-        candidates = self._candidates.any_left(
+        candidates = self._candidates.usable_or_fallback(
             service=service, request=request, excluded=excluded
         )
         mean = sum(loads[entry.endpoint] for entry in candidates) / len(candidates)
