--- a/dotterelpaddle/forwarding/candidates.py
+++ b/dotterelpaddle/forwarding/candidates.py
@@ -62,7 +62,7 @@
         reachable = self._reachability.reachable(entries=fresh)
         return self._health.usable(entries=reachable)
 
-    def serving(
+    def matching(
         self, *, service: ServiceName, request: HasPrompt
     ) -> list[EndpointEntry]:
         """Return the endpoints of a service that take a request as far as known."""
@@ -130,7 +130,7 @@
         request: HasPrompt,
         excluded: frozenset[EndpointId],
     ) -> list[EndpointEntry]:
-        entries = self.serving(service=service, request=request)
+        entries = self.matching(service=service, request=request)
         return [entry for entry in entries if entry.endpoint not in excluded]
 
 
