--- a/dotterelpaddle/forwarding/candidates.py
+++ b/dotterelpaddle/forwarding/candidates.py
@@ -69,7 +69,7 @@
         return [
             entry
             for entry in self._view.ready(service=service)
-            if serves(entry=entry, request=request)
+            if serves_model(entry=entry, request=request)
             and not self._health.is_replaced(endpoint=entry.endpoint)
             and not self._quiet.is_backing_off(endpoint=entry.endpoint)
         ]
@@ -96,7 +96,7 @@
             entry
             for entry in self._view.last_resort(service=service)
             if entry.endpoint not in excluded
-            and serves(entry=entry, request=request)
+            and serves_model(entry=entry, request=request)
             and not self._quiet.is_backing_off(endpoint=entry.endpoint)
         ]
         for entries_left in (reachable, fresh, last):
@@ -134,6 +134,6 @@
         return [entry for entry in entries if entry.endpoint not in excluded]
 
 
-def serves(*, entry: EndpointEntry, request: HasPrompt) -> bool:
+def serves_model(*, entry: EndpointEntry, request: HasPrompt) -> bool:
     """Tell whether an endpoint has the model that a request asks for."""
     return not request.model or not entry.models or request.model in entry.models
