--- a/dotterelpaddle/forwarding/choice.py
+++ b/dotterelpaddle/forwarding/choice.py
@@ -20,7 +20,7 @@
     LEAST_LOADED = "least_loaded"
 
 
-class AloneBecause(Enum):
+class LocalChoiceReason(Enum):
     """Why a router chose by itself, on reports, instead of an owner."""
 
     FEW_ENDPOINTS = "few_endpoints"
@@ -60,4 +60,4 @@
     fetch_from: EndpointEntry | None = None
     noted: tuple[PartTag, ...] = ()
     decided_by: RouterId | None = None
-    alone: AloneBecause | None = None
+    alone: LocalChoiceReason | None = None
--- a/dotterelpaddle/owners/placing.py
+++ b/dotterelpaddle/owners/placing.py
@@ -6,7 +6,7 @@
 from typing import TYPE_CHECKING
 
 from dotterelpaddle.forwarding.caches import part_tag, shared_parts
-from dotterelpaddle.forwarding.choice import AloneBecause, Choice
+from dotterelpaddle.forwarding.choice import Choice, LocalChoiceReason
 from dotterelpaddle.forwarding.cold import Decider
 from dotterelpaddle.owners.messages import Wanted
 from dotterelpaddle.owners.shards import ranked_shards, shard_entries
@@ -110,14 +110,14 @@
         request: HasPrompt,
         repeatable: bool,
         excluded: frozenset[EndpointId],
-    ) -> Choice | AloneBecause:
+    ) -> Choice | LocalChoiceReason:
         if not self._directory.owners():
-            return AloneBecause.NO_OWNER
+            return LocalChoiceReason.NO_OWNER
         usable = self._placer.candidates.usable(
             service=service, request=request, excluded=excluded
         )
         if len(usable) < LEAST_TO_CHOOSE:
-            return AloneBecause.FEW_ENDPOINTS
+            return LocalChoiceReason.FEW_ENDPOINTS
         names = frozenset(entry.endpoint for entry in usable)
         unusable = frozenset(
             entry.endpoint
@@ -133,7 +133,7 @@
         for shard in ranked:
             domain = self._owning_domain(entries=usable, shard=shard)
             if domain is None:
-                return AloneBecause.NO_OWNER
+                return LocalChoiceReason.NO_OWNER
             answered = await self._exchange.ask(
                 domain=domain,
                 wanted=Wanted(
@@ -148,7 +148,7 @@
                 ),
             )
             if answered is None or answered.grant is None:
-                return AloneBecause.OWNER_SILENT
+                return LocalChoiceReason.OWNER_SILENT
             grant = answered.grant
             if grant.endpoint in names:
                 return self._choice(
@@ -156,7 +156,7 @@
                 )
             self._requests.give_up(question=answered)
             cached_at = grant.fetch_from
-        return AloneBecause.NOTHING_GRANTED
+        return LocalChoiceReason.NOTHING_GRANTED
 
     def _owning_domain(
         self, *, entries: Sequence[EndpointEntry], shard: FailureDomain | None
