--- a/dotterelpaddle/forwarding/attempts.py
+++ b/dotterelpaddle/forwarding/attempts.py
@@ -289,7 +289,9 @@
             revision=choice.entry.revision,
             reason=choice.reason.value,
             decided_by=choice.decided_by or "",
-            alone_because=choice.alone.value if choice.alone is not None else "",
+            alone_because=choice.local_reason.value
+            if choice.local_reason is not None
+            else "",
             load=choice.load,
             mean_load=round(choice.mean_load, 2),
             candidates=choice.candidates,
--- a/dotterelpaddle/forwarding/choice.py
+++ b/dotterelpaddle/forwarding/choice.py
@@ -46,7 +46,7 @@
             has more of them.
         noted: Parts that it was not known to have before this choice.
         decided_by: The owner that chose it, None for this router itself.
-        alone: Why this router chose it itself, None where an owner did.
+        local_reason: Why this router chose it itself, None where an owner did.
     """
 
     entry: EndpointEntry
@@ -60,4 +60,4 @@
     fetch_from: EndpointEntry | None = None
     noted: tuple[PartTag, ...] = ()
     decided_by: RouterId | None = None
-    alone: LocalChoiceReason | None = None
+    local_reason: LocalChoiceReason | None = None
--- a/dotterelpaddle/forwarding/metrics.py
+++ b/dotterelpaddle/forwarding/metrics.py
@@ -88,7 +88,7 @@
 
     def chosen(self, *, choice: Choice) -> None:
         """Count an endpoint that was chosen, by why this router chose it itself."""
-        alone = choice.alone.value if choice.alone is not None else ""
+        alone = choice.local_reason.value if choice.local_reason is not None else ""
         self._choices.inc({"service": choice.entry.service, "alone_because": alone})
 
     def failed(self, *, service: str, error: str) -> None:
--- a/dotterelpaddle/owners/placing.py
+++ b/dotterelpaddle/owners/placing.py
@@ -101,7 +101,7 @@
                 Decider.NON_OWNER if self._directory.owners() else Decider.OWNERLESS
             ),
         )
-        return replace(choice, alone=decided)
+        return replace(choice, local_reason=decided)
 
     async def _choose_by_owners(
         self,
