--- a/dotterelpaddle/forwarding/choice.py
+++ b/dotterelpaddle/forwarding/choice.py
@@ -44,7 +44,7 @@
         work: Time that it takes until it can answer, in tokens read.
         fetch_from: Endpoint from whose cache it may fetch them, None if none
             has more of them.
-        noted: Parts that it was not known to have before this choice.
+        new_parts: Parts that it was not known to have before this choice.
         decided_by: The owner that chose it, None for this router itself.
         local_reason: Why this router chose it itself, None where an owner did.
     """
@@ -58,6 +58,6 @@
     missing: int = 0
     work: int = 0
     fetch_from: EndpointEntry | None = None
-    noted: tuple[PartTag, ...] = ()
+    new_parts: tuple[PartTag, ...] = ()
     decided_by: RouterId | None = None
     local_reason: LocalChoiceReason | None = None
--- a/dotterelpaddle/forwarding/placement.py
+++ b/dotterelpaddle/forwarding/placement.py
@@ -252,7 +252,7 @@
         if not shared_parts(request=request):
             return choice
         noted = self._caches.note(endpoint=choice.entry.endpoint, request=request)
-        return replace(choice, noted=noted)
+        return replace(choice, new_parts=noted)
 
     def _share(self, entry: EndpointEntry) -> float:
         return self._health.error_rate(endpoint=entry.endpoint)
