--- a/dotterelpaddle/forwarding/attempts.py
+++ b/dotterelpaddle/forwarding/attempts.py
@@ -294,7 +294,7 @@
             else "",
             load=choice.load,
             mean_load=round(choice.mean_load, 2),
-            candidates=choice.candidates,
+            candidates=choice.candidate_count,
             part=choice.part,
             missing_tokens=choice.missing,
             fetch_from=source.endpoint if source is not None else "",
--- a/dotterelpaddle/forwarding/choice.py
+++ b/dotterelpaddle/forwarding/choice.py
@@ -38,7 +38,7 @@
         reason: Why it was chosen.
         load: Its requests in flight, this one excluded.
         mean_load: The mean over the candidates.
-        candidates: Endpoints that it was chosen from.
+        candidate_count: Endpoints that it was chosen from.
         part: Tag of the deepest shared part of the prompt, 0 without one.
         missing: Shared prompt tokens that it does not have.
         work: Time that it takes until it can answer, in tokens read.
@@ -53,7 +53,7 @@
     reason: ChoiceReason
     load: int
     mean_load: float
-    candidates: int
+    candidate_count: int
     part: int = 0
     missing: int = 0
     work: int = 0
--- a/dotterelpaddle/forwarding/placement.py
+++ b/dotterelpaddle/forwarding/placement.py
@@ -324,7 +324,7 @@
             reason=ChoiceReason.LEAST_COST if lacks else ChoiceReason.CACHED,
             load=loads[entry.endpoint],
             mean_load=mean,
-            candidates=len(candidates),
+            candidate_count=len(candidates),
             part=part_tag(model=request.model, part=shared_parts(request=request)[-1]),
             missing=lacks,
             work=round(cached.work(endpoint=entry.endpoint).tokens),
@@ -373,5 +373,5 @@
             reason=ChoiceReason.LEAST_LOADED,
             load=loads[entry.endpoint],
             mean_load=mean,
-            candidates=len(candidates),
+            candidate_count=len(candidates),
         )
--- a/dotterelpaddle/owners/placing.py
+++ b/dotterelpaddle/owners/placing.py
@@ -180,7 +180,7 @@
             reason=grant.reason,
             load=grant.load,
             mean_load=grant.mean_load,
-            candidates=len(usable),
+            candidate_count=len(usable),
             part=part_tag(model=request.model, part=parts[-1]) if parts else 0,
             missing=grant.missing,
             work=grant.work,
--- a/dotterelpaddle/tests/forwarding/test_placement.py
+++ b/dotterelpaddle/tests/forwarding/test_placement.py
@@ -322,7 +322,7 @@
         for _ in range(MIN_RESULTS * 2):
             world.parts.health.failed_answer(entry=world.entry(name))
 
-    assert world.choose().candidates == 3
+    assert world.choose().candidate_count == 3
 
 
 def test_replaced_endpoint_is_never_chosen() -> None:
@@ -336,7 +336,7 @@
 async def test_silent_endpoint_puts_its_failure_domain_in_doubt() -> None:
     world = World()
     world.parts.reachability.suspect(entry=world.entry(C), silent=True)
-    assert world.choose().candidates == 2
+    assert world.choose().candidate_count == 2
 
     world.parts.reachability.suspect(entry=world.entry(A), silent=True)
     assert {world.choose().entry.endpoint for _ in range(5)} == {B}
