--- a/dotterelpaddle/forwarding/attempts.py
+++ b/dotterelpaddle/forwarding/attempts.py
@@ -295,7 +295,7 @@
             load=choice.load,
             mean_load=round(choice.mean_load, 2),
             candidates=choice.candidate_count,
-            part=choice.part,
+            part=choice.part_tag,
             missing_tokens=choice.missing,
             fetch_from=source.endpoint if source is not None else "",
         )
--- a/dotterelpaddle/forwarding/choice.py
+++ b/dotterelpaddle/forwarding/choice.py
@@ -39,7 +39,7 @@
         load: Its requests in flight, this one excluded.
         mean_load: The mean over the candidates.
         candidate_count: Endpoints that it was chosen from.
-        part: Tag of the deepest shared part of the prompt, 0 without one.
+        part_tag: Tag of the deepest shared part of the prompt, 0 without one.
         missing: Shared prompt tokens that it does not have.
         work: Time that it takes until it can answer, in tokens read.
         fetch_from: Endpoint from whose cache it may fetch them, None if none
@@ -54,7 +54,7 @@
     load: int
     mean_load: float
     candidate_count: int
-    part: int = 0
+    part_tag: int = 0
     missing: int = 0
     work: int = 0
     fetch_from: EndpointEntry | None = None
--- a/dotterelpaddle/forwarding/placement.py
+++ b/dotterelpaddle/forwarding/placement.py
@@ -325,7 +325,9 @@
             load=loads[entry.endpoint],
             mean_load=mean,
             candidate_count=len(candidates),
-            part=part_tag(model=request.model, part=shared_parts(request=request)[-1]),
+            part_tag=part_tag(
+                model=request.model, part=shared_parts(request=request)[-1]
+            ),
             missing=lacks,
             work=round(cached.work(endpoint=entry.endpoint).tokens),
             fetch_from=cached.holder if fetch else None,
--- a/dotterelpaddle/owners/placing.py
+++ b/dotterelpaddle/owners/placing.py
@@ -181,7 +181,7 @@
             load=grant.load,
             mean_load=grant.mean_load,
             candidate_count=len(usable),
-            part=part_tag(model=request.model, part=parts[-1]) if parts else 0,
+            part_tag=part_tag(model=request.model, part=parts[-1]) if parts else 0,
             missing=grant.missing,
             work=grant.work,
             fetch_from=next(
