--- a/dotterelpaddle/forwarding/attempts.py
+++ b/dotterelpaddle/forwarding/attempts.py
@@ -241,7 +241,7 @@
                 time_left=time_left,
                 connect_time=connect_time,
                 may_repeat=self._may_repeat_later(exchange=exchange),
-                missing_tokens=choice.missing,
+                missing_tokens=choice.missing_tokens,
             ),
             fresh=fresh or not route.retryable,
             observe=progress.observe,
@@ -296,7 +296,7 @@
             mean_load=round(choice.mean_load, 2),
             candidates=choice.candidate_count,
             part=choice.part_tag,
-            missing_tokens=choice.missing,
+            missing_tokens=choice.missing_tokens,
             fetch_from=source.endpoint if source is not None else "",
         )
 
--- a/dotterelpaddle/forwarding/choice.py
+++ b/dotterelpaddle/forwarding/choice.py
@@ -40,7 +40,7 @@
         mean_load: The mean over the candidates.
         candidate_count: Endpoints that it was chosen from.
         part_tag: Tag of the deepest shared part of the prompt, 0 without one.
-        missing: Shared prompt tokens that it does not have.
+        missing_tokens: Shared prompt tokens that it does not have.
         work: Time that it takes until it can answer, in tokens read.
         fetch_from: Endpoint from whose cache it may fetch them, None if none
             has more of them.
@@ -55,7 +55,7 @@
     mean_load: float
     candidate_count: int
     part_tag: int = 0
-    missing: int = 0
+    missing_tokens: int = 0
     work: int = 0
     fetch_from: EndpointEntry | None = None
     new_parts: tuple[PartTag, ...] = ()
--- a/dotterelpaddle/forwarding/placement.py
+++ b/dotterelpaddle/forwarding/placement.py
@@ -328,7 +328,7 @@
             part_tag=part_tag(
                 model=request.model, part=shared_parts(request=request)[-1]
             ),
-            missing=lacks,
+            missing_tokens=lacks,
             work=round(cached.work(endpoint=entry.endpoint).tokens),
             fetch_from=cached.holder if fetch else None,
         )
--- a/dotterelpaddle/owners/owner.py
+++ b/dotterelpaddle/owners/owner.py
@@ -98,7 +98,7 @@
             reason=choice.reason,
             load=choice.load,
             mean_load=round(choice.mean_load, 2),
-            missing=choice.missing,
+            missing=choice.missing_tokens,
             work=choice.work,
         )
 
--- a/dotterelpaddle/tests/owners/fleet.py
+++ b/dotterelpaddle/tests/owners/fleet.py
@@ -239,7 +239,7 @@
             )
         )
         speed = READING_SPEED if choice.fetch_from is None else FETCH_SPEED
-        reading = choice.missing / speed
+        reading = choice.missing_tokens / speed
         busy, queued = min(at.load, SLOTS), max(0, at.load + 1 - SLOTS)
         answer = ANSWER_TIME * (1 + SLOWING * busy) * self.dice.uniform(0.5, 1.5)
         at.load += 1
