--- a/dotterelpaddle/forwarding/attempts.py
+++ b/dotterelpaddle/forwarding/attempts.py
@@ -178,7 +178,7 @@
         watched = self._guard.watch(
             exchange=exchange, relay=relay, entry=entry, progress=progress
         )
-        hold = self._loads.track(endpoint=entry.endpoint, work=choice.work)
+        hold = self._loads.track(endpoint=entry.endpoint, work=choice.work_tokens)
         try:
             with watched, hold as held:
                 progress.held = held
--- a/dotterelpaddle/forwarding/choice.py
+++ b/dotterelpaddle/forwarding/choice.py
@@ -41,7 +41,7 @@
         candidate_count: Endpoints that it was chosen from.
         part_tag: Tag of the deepest shared part of the prompt, 0 without one.
         missing_tokens: Shared prompt tokens that it does not have.
-        work: Time that it takes until it can answer, in tokens read.
+        work_tokens: Time that it takes until it can answer, in tokens read.
         fetch_from: Endpoint from whose cache it may fetch them, None if none
             has more of them.
         new_parts: Parts that it was not known to have before this choice.
@@ -56,7 +56,7 @@
     candidate_count: int
     part_tag: int = 0
     missing_tokens: int = 0
-    work: int = 0
+    work_tokens: int = 0
     fetch_from: EndpointEntry | None = None
     new_parts: tuple[PartTag, ...] = ()
     decided_by: RouterId | None = None
--- a/dotterelpaddle/owners/owner.py
+++ b/dotterelpaddle/owners/owner.py
@@ -99,7 +99,7 @@
             load=choice.load,
             mean_load=round(choice.mean_load, 2),
             missing=choice.missing_tokens,
-            work=choice.work,
+            work=choice.work_tokens,
         )
 
     def _current_loads(self, *, wanted: Wanted) -> Counter[EndpointId]:
