--- a/bench/decisions/model.py
+++ b/bench/decisions/model.py
@@ -19,7 +19,7 @@
     ZIPF,
 )
 from bench.decisions.rivals import Owners, Predicted, Probes, Reports
-from dotterelpaddle.forwarding.cost import FETCH_SHARE, LOAD_TOKENS
+from dotterelpaddle.forwarding.cost import FETCH_SHARE, REQUEST_LOAD_TOKENS
 from dotterelpaddle.forwarding.herding import (
     LARGE_FLEET_ROUTERS,
     LOAD_ALLOWANCE,
@@ -210,7 +210,7 @@
         return min(
             within,
             key=lambda each: (
-                LOAD_TOKENS * loads[each] + lacks * (each not in holders),
+                REQUEST_LOAD_TOKENS * loads[each] + lacks * (each not in holders),
                 self._dice.random(),
             ),
         )
--- a/dotterelpaddle/forwarding/cost.py
+++ b/dotterelpaddle/forwarding/cost.py
@@ -7,7 +7,7 @@
 
 from dataclasses import dataclass
 
-LOAD_TOKENS = 100
+REQUEST_LOAD_TOKENS = 100
 """Prompt tokens that are read again rather than add one request to a load.
 
 Reading 100 tokens takes 1.2 ms; one request more slows each step of all others
@@ -62,4 +62,4 @@
         expected_failures: Requests of load that weigh as much as the failures there.
     """
     waits = max(0.0, queued - UNFELT_QUEUE)
-    return work.tokens + waits + LOAD_TOKENS * (load + expected_failures)
+    return work.tokens + waits + REQUEST_LOAD_TOKENS * (load + expected_failures)
--- a/dotterelpaddle/tests/forwarding/test_cost.py
+++ b/dotterelpaddle/tests/forwarding/test_cost.py
@@ -11,7 +11,7 @@
 
 from dotterelpaddle.forwarding.cost import (
     FETCH_SHARE,
-    LOAD_TOKENS,
+    REQUEST_LOAD_TOKENS,
     UNFELT_QUEUE,
     PromptWork,
     prompt_cost,
@@ -42,7 +42,7 @@
 def test_load_and_failures_weigh_the_same_with_and_without_a_queue() -> None:
     more = _cost(queued=QUEUE, load=21) - _cost(queued=QUEUE)
 
-    assert more == LOAD_TOKENS
+    assert more == REQUEST_LOAD_TOKENS
 
 
 def test_token_that_another_endpoint_has_is_fetched_for_less() -> None:
