--- a/bench/decisions/model.py
+++ b/bench/decisions/model.py
@@ -19,7 +19,7 @@
     ZIPF,
 )
 from bench.decisions.rivals import Owners, Predicted, Probes, Reports
-from dotterelpaddle.forwarding.cost import FETCH_SHARE, REQUEST_LOAD_TOKENS
+from dotterelpaddle.forwarding.cost import FETCH_COST_RATIO, REQUEST_LOAD_TOKENS
 from dotterelpaddle.forwarding.herding import (
     LARGE_FLEET_ROUTERS,
     LOAD_ALLOWANCE,
@@ -206,7 +206,7 @@
         if not within:
             return min(compared, key=lambda each: (loads[each], self._dice.random()))
         holders = self._known_holders(subject, known)
-        lacks = PROMPT_TOKENS * (FETCH_SHARE if holders else 1.0)
+        lacks = PROMPT_TOKENS * (FETCH_COST_RATIO if holders else 1.0)
         return min(
             within,
             key=lambda each: (
--- a/dotterelpaddle/forwarding/cost.py
+++ b/dotterelpaddle/forwarding/cost.py
@@ -14,7 +14,7 @@
 by 0.08 ms, over some hundred steps.
 """
 
-FETCH_SHARE = 0.16
+FETCH_COST_RATIO = 0.16
 """Cost of a token that is fetched from another endpoint's cache, relative to one
 that is read: at 35 GB/s a prompt of 10,000 tokens takes 5 ms to fetch and
 120 ms to read."""
@@ -42,7 +42,9 @@
     @property
     def tokens(self) -> float:
         """The time for it, in tokens read."""
-        return self.lacks - self.elsewhere + FETCH_SHARE * self.elsewhere + self.own
+        return (
+            self.lacks - self.elsewhere + FETCH_COST_RATIO * self.elsewhere + self.own
+        )
 
 
 def prompt_cost(
--- a/dotterelpaddle/tests/forwarding/test_cost.py
+++ b/dotterelpaddle/tests/forwarding/test_cost.py
@@ -10,7 +10,7 @@
 import pytest
 
 from dotterelpaddle.forwarding.cost import (
-    FETCH_SHARE,
+    FETCH_COST_RATIO,
     REQUEST_LOAD_TOKENS,
     UNFELT_QUEUE,
     PromptWork,
@@ -49,4 +49,4 @@
     read = PromptWork(lacks=PROMPT, elsewhere=0, own=0)
     fetched = PromptWork(lacks=PROMPT, elsewhere=PROMPT, own=0)
 
-    assert fetched.tokens == pytest.approx(FETCH_SHARE * read.tokens)
+    assert fetched.tokens == pytest.approx(FETCH_COST_RATIO * read.tokens)
