--- a/dotterelpaddle/forwarding/cost.py
+++ b/dotterelpaddle/forwarding/cost.py
@@ -19,7 +19,7 @@
 that is read: at 35 GB/s a prompt of 10,000 tokens takes 5 ms to fetch and
 120 ms to read."""
 
-UNFELT_QUEUE = 16_000
+MAX_FREE_QUEUE_TOKENS = 16_000
 """Tokens that may wait to be read at an endpoint before a prompt is sent elsewhere for
 it: 0.1 to 0.2 s of reading, which leaves a stream most of its latency objective. To go
 round each queue moves the caches of twice as many prompts and serves nobody sooner."""
@@ -63,5 +63,5 @@
         load: Requests that are in flight there.
         expected_failures: Requests of load that weigh as much as the failures there.
     """
-    waits = max(0.0, queued - UNFELT_QUEUE)
+    waits = max(0.0, queued - MAX_FREE_QUEUE_TOKENS)
     return work.tokens + waits + REQUEST_LOAD_TOKENS * (load + expected_failures)
--- a/dotterelpaddle/tests/forwarding/test_cost.py
+++ b/dotterelpaddle/tests/forwarding/test_cost.py
@@ -11,8 +11,8 @@
 
 from dotterelpaddle.forwarding.cost import (
     FETCH_COST_RATIO,
+    MAX_FREE_QUEUE_TOKENS,
     REQUEST_LOAD_TOKENS,
-    UNFELT_QUEUE,
     PromptWork,
     prompt_cost,
 )
@@ -34,7 +34,7 @@
     assert _cost(lacks=PROMPT, queued=QUEUE / 4) < _cost(lacks=PROMPT, queued=QUEUE)
 
 
-@pytest.mark.parametrize("queued", [0.0, PROMPT, UNFELT_QUEUE])
+@pytest.mark.parametrize("queued", [0.0, PROMPT, MAX_FREE_QUEUE_TOKENS])
 def test_queue_that_nobody_feels_moves_no_prompt(queued: float) -> None:
     assert _cost(queued=queued) == _cost()
 
