--- a/dotterelpaddle/forwarding/cost.py
+++ b/dotterelpaddle/forwarding/cost.py
@@ -30,12 +30,12 @@
     """What an endpoint has to do before it can answer a prompt.
 
     Attributes:
-        lacks: Shared tokens that it does not have.
+        missing_tokens: Shared tokens that it does not have.
         elsewhere: Those of them that another endpoint has.
         own: Tokens that no other prompt shares.
     """
 
-    lacks: int
+    missing_tokens: int
     elsewhere: int
     own: int
 
@@ -43,7 +43,10 @@
     def tokens(self) -> float:
         """The time for it, in tokens read."""
         return (
-            self.lacks - self.elsewhere + FETCH_COST_RATIO * self.elsewhere + self.own
+            self.missing_tokens
+            - self.elsewhere
+            + FETCH_COST_RATIO * self.elsewhere
+            + self.own
         )
 
 
