--- a/dotterelpaddle/forwarding/cached_prompts.py
+++ b/dotterelpaddle/forwarding/cached_prompts.py
@@ -44,7 +44,9 @@
         """What an endpoint has to do for the prompt."""
         lacks = self.missing[endpoint]
         elsewhere = max(0, lacks - self.least)
-        return PromptWork(missing_tokens=lacks, elsewhere=elsewhere, own=self.own)
+        return PromptWork(
+            missing_tokens=lacks, fetchable_tokens=elsewhere, own=self.own
+        )
 
 
 class CachedPrompts:
--- a/dotterelpaddle/forwarding/cost.py
+++ b/dotterelpaddle/forwarding/cost.py
@@ -31,12 +31,12 @@
 
     Attributes:
         missing_tokens: Shared tokens that it does not have.
-        elsewhere: Those of them that another endpoint has.
+        fetchable_tokens: Those of them that another endpoint has.
         own: Tokens that no other prompt shares.
     """
 
     missing_tokens: int
-    elsewhere: int
+    fetchable_tokens: int
     own: int
 
     @property
@@ -44,8 +44,8 @@
         """The time for it, in tokens read."""
         return (
             self.missing_tokens
-            - self.elsewhere
-            + FETCH_COST_RATIO * self.elsewhere
+            - self.fetchable_tokens
+            + FETCH_COST_RATIO * self.fetchable_tokens
             + self.own
         )
 
