--- a/dotterelpaddle/forwarding/cached_prompts.py
+++ b/dotterelpaddle/forwarding/cached_prompts.py
@@ -45,7 +45,7 @@
         lacks = self.missing[endpoint]
         elsewhere = max(0, lacks - self.least)
         return PromptWork(
-            missing_tokens=lacks, fetchable_tokens=elsewhere, own=self.own
+            missing_tokens=lacks, fetchable_tokens=elsewhere, unique_tokens=self.own
         )
 
 
--- a/dotterelpaddle/forwarding/cost.py
+++ b/dotterelpaddle/forwarding/cost.py
@@ -32,12 +32,12 @@
     Attributes:
         missing_tokens: Shared tokens that it does not have.
         fetchable_tokens: Those of them that another endpoint has.
-        own: Tokens that no other prompt shares.
+        unique_tokens: Tokens that no other prompt shares.
     """
 
     missing_tokens: int
     fetchable_tokens: int
-    own: int
+    unique_tokens: int
 
     @property
     def tokens(self) -> float:
@@ -46,7 +46,7 @@
             self.missing_tokens
             - self.fetchable_tokens
             + FETCH_COST_RATIO * self.fetchable_tokens
-            + self.own
+            + self.unique_tokens
         )
 
 
--- a/dotterelpaddle/tests/forwarding/test_cost.py
+++ b/dotterelpaddle/tests/forwarding/test_cost.py
@@ -22,7 +22,7 @@
 
 
 def _cost(*, lacks: int = 0, queued: float = 0.0, load: int = 20) -> float:
-    work = PromptWork(missing_tokens=lacks, fetchable_tokens=0, own=500)
+    work = PromptWork(missing_tokens=lacks, fetchable_tokens=0, unique_tokens=500)
     return prompt_cost(work=work, queued=queued, load=load, expected_failures=0.0)
 
 
@@ -46,7 +46,9 @@
 
 
 def test_token_that_another_endpoint_has_is_fetched_for_less() -> None:
-    read = PromptWork(missing_tokens=PROMPT, fetchable_tokens=0, own=0)
-    fetched = PromptWork(missing_tokens=PROMPT, fetchable_tokens=PROMPT, own=0)
+    read = PromptWork(missing_tokens=PROMPT, fetchable_tokens=0, unique_tokens=0)
+    fetched = PromptWork(
+        missing_tokens=PROMPT, fetchable_tokens=PROMPT, unique_tokens=0
+    )
 
     assert fetched.tokens == pytest.approx(FETCH_COST_RATIO * read.tokens)
