--- a/dotterelpaddle/forwarding/cost.py
+++ b/dotterelpaddle/forwarding/cost.py
@@ -40,7 +40,7 @@
     unique_tokens: int
 
     @property
-    def tokens(self) -> float:
+    def equivalent_tokens(self) -> float:
         """The time for it, in tokens read."""
         return (
             self.missing_tokens
@@ -67,4 +67,8 @@
         expected_failures: Requests of load that weigh as much as the failures there.
     """
     waits = max(0.0, queued - MAX_FREE_QUEUE_TOKENS)
-    return work.tokens + waits + REQUEST_LOAD_TOKENS * (load + expected_failures)
+    return (
+        work.equivalent_tokens
+        + waits
+        + REQUEST_LOAD_TOKENS * (load + expected_failures)
+    )
--- a/dotterelpaddle/forwarding/placement.py
+++ b/dotterelpaddle/forwarding/placement.py
@@ -329,7 +329,7 @@
                 model=request.model, part=shared_parts(request=request)[-1]
             ),
             missing_tokens=lacks,
-            work_tokens=round(cached.work(endpoint=entry.endpoint).tokens),
+            work_tokens=round(cached.work(endpoint=entry.endpoint).equivalent_tokens),
             fetch_from=cached.holder if fetch else None,
         )
 
--- a/dotterelpaddle/tests/forwarding/test_cost.py
+++ b/dotterelpaddle/tests/forwarding/test_cost.py
@@ -51,4 +51,6 @@
         missing_tokens=PROMPT, fetchable_tokens=PROMPT, unique_tokens=0
     )
 
-    assert fetched.tokens == pytest.approx(FETCH_COST_RATIO * read.tokens)
+    assert fetched.equivalent_tokens == pytest.approx(
+        FETCH_COST_RATIO * read.equivalent_tokens
+    )
