--- a/dotterelpaddle/daemon/process.py
+++ b/dotterelpaddle/daemon/process.py
@@ -9,7 +9,7 @@
 import anyio
 
 from dotterelpaddle.clock import monotonic
-from dotterelpaddle.forwarding.parts import Surroundings
+from dotterelpaddle.forwarding.parts import Dependencies
 from dotterelpaddle.forwarding.router import run_forwarder
 from dotterelpaddle.line_logs import LineSink
 from dotterelpaddle.links import Links
@@ -45,7 +45,7 @@
     links = Links()
     documents = PlatformDocuments()
     source = StoreSource(address=settings.store, documents=documents, links=links)
-    surroundings = Surroundings(
+    surroundings = Dependencies(
         source=source,
         protocols=PlatformProtocols(),
         documents=documents,
--- a/dotterelpaddle/forwarding/parts.py
+++ b/dotterelpaddle/forwarding/parts.py
@@ -60,7 +60,7 @@
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
-class Surroundings:
+class Dependencies:
     """What a router is connected to.
 
     Attributes:
@@ -149,7 +149,7 @@
         self.knowledge.directory.announce_leaving()
 
 
-def build_parts(*, settings: ForwardSettings, surroundings: Surroundings) -> Parts:
+def build_parts(*, settings: ForwardSettings, surroundings: Dependencies) -> Parts:
     """Put the parts of a router together.
 
     Args:
--- a/dotterelpaddle/forwarding/router.py
+++ b/dotterelpaddle/forwarding/router.py
@@ -21,7 +21,7 @@
     from collections.abc import AsyncIterator
 
     from dotterelpaddle.address import Address
-    from dotterelpaddle.forwarding.parts import Parts, Surroundings
+    from dotterelpaddle.forwarding.parts import Dependencies, Parts
     from dotterelpaddle.forwarding.settings import ForwardSettings
 
 log = get_logger(name=__name__)
@@ -56,7 +56,7 @@
 async def run_forwarder(
     *,
     settings: ForwardSettings,
-    surroundings: Surroundings,
+    surroundings: Dependencies,
     listener: socket.socket | None = None,
 ) -> AsyncIterator[RunningForwarder]:
     """Run a router until the context ends, then shut it down gracefully.
--- a/dotterelpaddle/tests/forwarding/harness.py
+++ b/dotterelpaddle/tests/forwarding/harness.py
@@ -12,7 +12,7 @@
 
 from dotterelpaddle.address import Address
 from dotterelpaddle.clock import monotonic
-from dotterelpaddle.forwarding.parts import Surroundings
+from dotterelpaddle.forwarding.parts import Dependencies
 from dotterelpaddle.forwarding.repeats import RepeatLimits
 from dotterelpaddle.forwarding.router import RunningForwarder, run_forwarder
 from dotterelpaddle.forwarding.settings import ForwardSettings
@@ -148,7 +148,7 @@
         router = await self.stack.enter_async_context(
             run_forwarder(
                 settings=settings,
-                surroundings=Surroundings(
+                surroundings=Dependencies(
                     source=source,
                     protocols=PlatformProtocols(),
                     documents=PlatformDocuments(),
--- a/dotterelpaddle/tests/owners/hosts.py
+++ b/dotterelpaddle/tests/owners/hosts.py
@@ -12,7 +12,7 @@
 import anyio
 
 from dotterelpaddle.address import Address
-from dotterelpaddle.forwarding.parts import Parts, Surroundings, build_parts
+from dotterelpaddle.forwarding.parts import Dependencies, Parts, build_parts
 from dotterelpaddle.forwarding.repeats import RepeatLimits
 from dotterelpaddle.forwarding.settings import ForwardSettings
 from dotterelpaddle.ids import FailureDomain, RouterId
@@ -139,7 +139,7 @@
             link_mbps=link,
             drain_time=leave_time,
         ),
-        surroundings=Surroundings(
+        surroundings=Dependencies(
             source=unused,
             protocols=protocols,
             documents=unused,
