--- a/dotterelpaddle/forwarding/parts.py
+++ b/dotterelpaddle/forwarding/parts.py
@@ -81,7 +81,7 @@
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
-class Knowledge:
+class SharedState:
     """What a router knows, which its parts share.
 
     Attributes:
@@ -130,7 +130,7 @@
         metrics: Renders what was counted.
     """
 
-    knowledge: Knowledge
+    knowledge: SharedState
     app: ForwardApp
     placer: OwnersPlacer
     client: ForwardClient
@@ -330,7 +330,7 @@
     )
 
 
-def _knowledge(*, settings: ForwardSettings, clock: Clock) -> Knowledge:
+def _knowledge(*, settings: ForwardSettings, clock: Clock) -> SharedState:
     caches = CacheMap(clock=clock)
     if settings.first_start:
         # The whole fleet starts for the first time: no endpoint has cached anything.
@@ -352,7 +352,7 @@
             clock=clock, serve_time=settings.leaving_propagation_time
         ),
     )
-    return Knowledge(
+    return SharedState(
         view=view,
         shares=shares,
         loads=LoadTracker(shares=shares),
