--- a/dotterelpaddle/forwarding/parts.py
+++ b/dotterelpaddle/forwarding/parts.py
@@ -112,7 +112,7 @@
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
-class Parts:
+class Components:
     """The parts of a router that are run.
 
     Attributes:
@@ -149,7 +149,7 @@
         self.knowledge.directory.announce_leaving()
 
 
-def build_parts(*, settings: ForwardSettings, surroundings: Dependencies) -> Parts:
+def build_parts(*, settings: ForwardSettings, surroundings: Dependencies) -> Components:
     """Put the parts of a router together.
 
     Args:
@@ -264,7 +264,7 @@
         KeepDeadline(clock=clock),
         Forward(attempts=attempts, client=client, repeats=knowledge.repeats),
     )
-    return Parts(
+    return Components(
         knowledge=knowledge,
         app=ForwardApp(
             pipeline=compose(filters=filters),
--- a/dotterelpaddle/forwarding/router.py
+++ b/dotterelpaddle/forwarding/router.py
@@ -21,7 +21,7 @@
     from collections.abc import AsyncIterator
 
     from dotterelpaddle.address import Address
-    from dotterelpaddle.forwarding.parts import Dependencies, Parts
+    from dotterelpaddle.forwarding.parts import Components, Dependencies
     from dotterelpaddle.forwarding.settings import ForwardSettings
 
 log = get_logger(name=__name__)
@@ -45,7 +45,7 @@
         peers: Where it exchanges reports.
     """
 
-    parts: Parts
+    parts: Components
     callers: Address
     readiness: Address
     control: Address
@@ -124,7 +124,7 @@
         tasks.cancel_scope.cancel()
 
 
-async def _keep_house(parts: Parts) -> None:
+async def _keep_house(parts: Components) -> None:
     knowledge = parts.knowledge
     while True:
         await anyio.sleep(HOUSEKEEPING_PAUSE)
--- a/dotterelpaddle/tests/forwarding/crash_world.py
+++ b/dotterelpaddle/tests/forwarding/crash_world.py
@@ -44,7 +44,7 @@
 
     from anyio.abc import TaskGroup
 
-    from dotterelpaddle.forwarding.parts import Parts
+    from dotterelpaddle.forwarding.parts import Components
     from dotterelpaddle.ids import RouterId
 
 CULPRIT = "culprit"
@@ -317,7 +317,7 @@
 
     def _tell(
         self,
-        parts: Parts,
+        parts: Components,
         *,
         names: tuple[str, ...] = (),
         removed: tuple[str, ...] = (),
--- a/dotterelpaddle/tests/owners/fleet.py
+++ b/dotterelpaddle/tests/owners/fleet.py
@@ -48,7 +48,7 @@
     from dotterelpaddle.address import Address
     from dotterelpaddle.forwarding.choice import Choice
     from dotterelpaddle.forwarding.interface import ForwardRequest
-    from dotterelpaddle.forwarding.parts import Parts
+    from dotterelpaddle.forwarding.parts import Components
     from dotterelpaddle.ids import FailureDomain
 
 SERVICE = ServiceName("engines")
@@ -349,7 +349,7 @@
         if parts is not None:
             parts.knowledge.view.apply_endpoints_update(read=read)
 
-    def _tell_all(self, parts: Parts) -> None:
+    def _tell_all(self, parts: Components) -> None:
         parts.knowledge.view.apply_endpoints_update(
             read=EndpointsUpdate(
                 revision=Revision(self.revision),
--- a/dotterelpaddle/tests/owners/hosts.py
+++ b/dotterelpaddle/tests/owners/hosts.py
@@ -12,7 +12,7 @@
 import anyio
 
 from dotterelpaddle.address import Address
-from dotterelpaddle.forwarding.parts import Dependencies, Parts, build_parts
+from dotterelpaddle.forwarding.parts import Components, Dependencies, build_parts
 from dotterelpaddle.forwarding.repeats import RepeatLimits
 from dotterelpaddle.forwarding.settings import ForwardSettings
 from dotterelpaddle.ids import FailureDomain, RouterId
@@ -79,7 +79,7 @@
     number: int
     domain: FailureDomain
     link: int
-    parts: Parts | None = None
+    parts: Components | None = None
     datagrams: HostDatagrams | None = None
     stopping: anyio.Event = field(default_factory=anyio.Event)
     stopping_since: float = float("inf")
@@ -111,7 +111,7 @@
     clock: Clock,
     leave_time: float = 0.0,
     protocols: Any = None,
-) -> Parts:
+) -> Components:
     """Put a router's parts together, without a platform or endpoints.
 
     Args:
