--- a/dotterelpaddle/forwarding/parts.py
+++ b/dotterelpaddle/forwarding/parts.py
@@ -116,7 +116,7 @@
     """The parts of a router that are run.
 
     Attributes:
-        knowledge: What they share.
+        state: What they share.
         app: Serves callers.
         placer: Chooses endpoints.
         client: Client of endpoints.
@@ -130,7 +130,7 @@
         metrics: Renders what was counted.
     """
 
-    knowledge: SharedState
+    state: SharedState
     app: ForwardApp
     placer: OwnersPlacer
     client: ForwardClient
@@ -146,7 +146,7 @@
     def announce_leaving(self) -> None:
         """Let callers go elsewhere, and other routers take over."""
         self.app.announce_leaving()
-        self.knowledge.directory.announce_leaving()
+        self.state.directory.announce_leaving()
 
 
 def build_parts(*, settings: ForwardSettings, surroundings: Dependencies) -> Components:
@@ -265,7 +265,7 @@
         Forward(attempts=attempts, client=client, repeats=knowledge.repeats),
     )
     return Components(
-        knowledge=knowledge,
+        state=knowledge,
         app=ForwardApp(
             pipeline=compose(filters=filters),
             protocols=surroundings.protocols,
--- a/dotterelpaddle/forwarding/router.py
+++ b/dotterelpaddle/forwarding/router.py
@@ -70,7 +70,7 @@
         The router. It serves once it knows configuration and endpoints.
     """
     parts = build_parts(settings=settings, surroundings=surroundings)
-    app, knowledge = parts.app, parts.knowledge
+    app, knowledge = parts.app, parts.state
     grace = settings.shutdown_timeout - settings.drain_time - STOP_MARGIN
     async with (
         open_datagrams(address=settings.peers, links=surroundings.links) as datagrams,
@@ -125,7 +125,7 @@
 
 
 async def _keep_house(parts: Components) -> None:
-    knowledge = parts.knowledge
+    knowledge = parts.state
     while True:
         await anyio.sleep(HOUSEKEEPING_PAUSE)
         await parts.client.discard_expired()
--- a/dotterelpaddle/tests/forwarding/crash_world.py
+++ b/dotterelpaddle/tests/forwarding/crash_world.py
@@ -259,7 +259,7 @@
             tasks.start_soon(parts.reachability.run)
             tasks.start_soon(parts.endings.run)
             self._tell(parts, names=tuple(self._entries), whole=True)
-            parts.knowledge.caches.mark_known()
+            parts.state.caches.mark_known()
             await host.stopping.wait()
             parts.announce_leaving()
             while parts.app.in_flight:
@@ -323,7 +323,7 @@
         removed: tuple[str, ...] = (),
         whole: bool = False,
     ) -> None:
-        view = parts.knowledge.view
+        view = parts.state.view
         revision = Revision(self._revision)
         view.apply_configuration(
             configuration=self._documents.configuration(document=self._configuration)
--- a/dotterelpaddle/tests/forwarding/test_aggregation.py
+++ b/dotterelpaddle/tests/forwarding/test_aggregation.py
@@ -35,7 +35,7 @@
     for link in fleet_links:
         await fleet.add_router(link=link)
     member = await fleet.add_router(link=1, store=NO_STORE)
-    knowledge = member.parts.knowledge
+    knowledge = member.parts.state
     await until(lambda: not knowledge.shares.aggregates and member.parts.app.ready)
     return len(fleet.routers) - 1
 
@@ -43,7 +43,7 @@
 async def test_member_has_configuration_and_endpoints_from_others() -> None:
     async with run_fleet(routers=0) as fleet:
         member = await _add_member(fleet)
-        view = fleet.routers[member].parts.knowledge.view
+        view = fleet.routers[member].parts.state.view
 
         fleet.store.configure(configuration=configuration(version=2))
         await until(lambda: view.version == 2)
@@ -59,7 +59,7 @@
 async def test_member_counts_the_requests_of_all() -> None:
     async with run_fleet(routers=0) as fleet:
         member = await _add_member(fleet)
-        books = [router.parts.knowledge.loads for router in fleet.routers]
+        books = [router.parts.state.loads for router in fleet.routers]
         endpoint = EndpointId("runner-1")
         with (
             books[0].track(endpoint=endpoint),
@@ -76,7 +76,7 @@
         for router in fleet.routers[:member]:
             router.parts.exchange._plan.recipients = list  # type: ignore[method-assign]
 
-        await until(lambda: parts.knowledge.shares.aggregates)
+        await until(lambda: parts.state.shares.aggregates)
         answer = await fleet.call("/safe/", router=member)
 
     assert answer.status == 200
--- a/dotterelpaddle/tests/forwarding/test_crash_incident.py
+++ b/dotterelpaddle/tests/forwarding/test_crash_incident.py
@@ -129,7 +129,7 @@
 
     world, _ = _play(_crashes, seed=seed, engines=9, routers=3)
 
-    books = [host.parts.knowledge.crashes for host in world.hosts if host.parts]
+    books = [host.parts.state.crashes for host in world.hosts if host.parts]
     assert [book.blocked for book in books] == [0, 0, 0]
 
 
--- a/dotterelpaddle/tests/forwarding/test_evacuation.py
+++ b/dotterelpaddle/tests/forwarding/test_evacuation.py
@@ -87,7 +87,7 @@
     async with _two_domains() as fleet:
         router = await fleet.add_router(store=NO_STORE)
         await until(lambda: router.parts.app.ready)
-        view = router.parts.knowledge.view
+        view = router.parts.state.view
         _evacuate(fleet, HERE)
         await until(lambda: view.evacuations.domains)
 
@@ -97,7 +97,7 @@
 async def test_domain_that_is_taken_back_gets_work_again() -> None:
     """Guards against endpoints that are lost to the fleet after an evacuation."""
     async with _two_domains() as fleet:
-        view = fleet.routers[0].parts.knowledge.view
+        view = fleet.routers[0].parts.state.view
         _evacuate(fleet, HERE)
         await until(lambda: view.evacuations.domains)
         fleet.store.remove(table=Table.OPERATOR, key=f"evacuate/{HERE}")
@@ -109,7 +109,7 @@
 async def test_what_has_nowhere_to_go_is_refused_at_once() -> None:
     """Guards against requests that wait, or run, while all domains are evacuated."""
     async with _two_domains() as fleet:
-        view = fleet.routers[0].parts.knowledge.view
+        view = fleet.routers[0].parts.state.view
         for domain in (HERE, THERE):
             _evacuate(fleet, domain)
         await until(lambda: len(view.evacuations.domains) == 2)
--- a/dotterelpaddle/tests/forwarding/test_faults.py
+++ b/dotterelpaddle/tests/forwarding/test_faults.py
@@ -174,7 +174,7 @@
     async with run_fleet(runners=2) as fleet:
         gone = fleet.runners["runner-1"].entry(address=CLOSED, service="records")
         fleet.store.put(table=Table.ENDPOINTS, key="runner-1", value=gone)
-        view = fleet.routers[0].parts.knowledge.view
+        view = fleet.routers[0].parts.state.view
         await until(lambda: any(entry.address == CLOSED for entry in view.entries))
         answers = [await fleet.call("/unsafe/") for _ in range(6)]
 
@@ -277,7 +277,7 @@
         await fleet.add_runner("runner-1")
         fleet.addresses["runner-1"] = CLOSED
         fleet.register("runner-1")
-        view = fleet.routers[0].parts.knowledge.view
+        view = fleet.routers[0].parts.state.view
         await until(lambda: any(entry.address == CLOSED for entry in view.entries))
         answer = await fleet.call(path)
 
--- a/dotterelpaddle/tests/forwarding/test_flow.py
+++ b/dotterelpaddle/tests/forwarding/test_flow.py
@@ -149,7 +149,7 @@
 
 async def test_split_route_uses_all_its_services() -> None:
     async with run_fleet() as fleet:
-        view = fleet.routers[0].parts.knowledge.view
+        view = fleet.routers[0].parts.state.view
         await fleet.add_runner("other-1", service="other")
         await until(lambda: len(view.entries) == 2)
         split = [
--- a/dotterelpaddle/tests/forwarding/test_leaving_incident.py
+++ b/dotterelpaddle/tests/forwarding/test_leaving_incident.py
@@ -91,7 +91,7 @@
     async with run_fleet(runners=2, routers=2) as fleet:
         leaving = fleet.runners["runner-1"]
         leaving.leaving = True
-        view = fleet.routers[1].parts.knowledge.view
+        view = fleet.routers[1].parts.state.view
         await _call_until_told(fleet, "/safe/", "runner-1")
         await until(lambda: len(view.ready(service=ServiceName("records"))) == 1)
         for _ in range(12):
@@ -112,7 +112,7 @@
         runner.leaving = True
         runner.plan.append(behaviour)
         await fleet.call("/unsafe/")
-        leaving = fleet.routers[0].parts.knowledge.view.leaving
+        leaving = fleet.routers[0].parts.state.view.leaving
 
         assert runner.received
         assert EndpointId(runner.name) not in leaving
@@ -124,7 +124,7 @@
         for runner in fleet.runners.values():
             runner.leaving = True
         first = [await fleet.call("/safe/") for _ in range(4)]
-        view = fleet.routers[0].parts.knowledge.view
+        view = fleet.routers[0].parts.state.view
         await until(lambda: not view.last_resort(service=ServiceName("records")))
         sent = sum(len(runner.received) for runner in fleet.runners.values())
         last = await fleet.call("/safe/")
--- a/dotterelpaddle/tests/forwarding/test_metrics.py
+++ b/dotterelpaddle/tests/forwarding/test_metrics.py
@@ -62,7 +62,7 @@
 
 async def test_state_is_told_as_it_is_now() -> None:
     async with run_fleet(runners=2, routers=2, version=7) as fleet:
-        view = fleet.routers[0].parts.knowledge.view
+        view = fleet.routers[0].parts.state.view
         first = await _page(fleet)
         name = next(iter(fleet.runners))
         fleet.store.remove(table="servers", key=name)
--- a/dotterelpaddle/tests/forwarding/test_news.py
+++ b/dotterelpaddle/tests/forwarding/test_news.py
@@ -24,7 +24,7 @@
 
 
 def _view(fleet: Fleet, router: int = 0):  # type: ignore[no-untyped-def]
-    return fleet.routers[router].parts.knowledge.view
+    return fleet.routers[router].parts.state.view
 
 
 def _names(fleet: Fleet, router: int = 0) -> set[str]:
@@ -203,7 +203,7 @@
 
 async def test_routers_count_each_others_requests() -> None:
     async with run_fleet(routers=2) as fleet:
-        first, second = (router.parts.knowledge for router in fleet.routers)
+        first, second = (router.parts.state for router in fleet.routers)
         endpoint = EndpointId("runner-1")
         with first.loads.track(endpoint=endpoint):
             await until(lambda: second.loads.loads()[endpoint] == 1)
--- a/dotterelpaddle/tests/forwarding/test_reachability.py
+++ b/dotterelpaddle/tests/forwarding/test_reachability.py
@@ -36,7 +36,7 @@
         self.ports = {address.port for address in fleet.addresses.values()}
         await fleet.call("/safe/")
         parts = fleet.routers[0].parts
-        entries = parts.knowledge.view.entries
+        entries = parts.state.view.entries
         await until(lambda: not parts.reachability.possibly_reachable(entries=entries))
 
 
@@ -72,7 +72,7 @@
     async with run_fleet(runners=2) as fleet:
         await cut.off(fleet=fleet)
         parts = fleet.routers[0].parts
-        entries = parts.knowledge.view.entries
+        entries = parts.state.view.entries
         cut.ports.clear()
         await until(
             lambda: len(parts.reachability.reachable(entries=entries)) == len(entries)
--- a/dotterelpaddle/tests/owners/fleet.py
+++ b/dotterelpaddle/tests/owners/fleet.py
@@ -173,7 +173,7 @@
         parts = next(each.parts for each in self.routers if each.parts is not None)
         return {
             domain: self._by_address[name.address]
-            for domain, name in parts.knowledge.directory.owners().items()
+            for domain, name in parts.state.directory.owners().items()
         }
 
     # What callers do.
@@ -202,9 +202,7 @@
                 excluded=frozenset(),
             )
             endpoint = choice.entry.endpoint
-            with parts.knowledge.loads.track(
-                endpoint=endpoint, work=choice.work_tokens
-            ):
+            with parts.state.loads.track(endpoint=endpoint, work=choice.work_tokens):
                 await anyio.sleep(self._travel(router, choice.entry.failure_domain))
                 await self._serve(endpoint=endpoint, choice=choice)
                 await anyio.sleep(self._travel(router, choice.entry.failure_domain))
@@ -278,7 +276,7 @@
             datagrams: Any = HostDatagrams(router=router, send=self._fly)
             router.parts, router.datagrams = parts, datagrams
             if self._decide_alone:
-                parts.knowledge.directory.owners = dict  # type: ignore[method-assign]
+                parts.state.directory.owners = dict  # type: ignore[method-assign]
             async with anyio.create_task_group() as tasks:
                 tasks.start_soon(parts.exchange.run, datagrams, router.address)
                 tasks.start_soon(parts.owners.run, datagrams)
@@ -347,10 +345,10 @@
         parts = router.parts
         await anyio.sleep(self.dice.uniform(*NEWS_TIME))
         if parts is not None:
-            parts.knowledge.view.apply_endpoints_update(read=read)
+            parts.state.view.apply_endpoints_update(read=read)
 
     def _tell_all(self, parts: Components) -> None:
-        parts.knowledge.view.apply_endpoints_update(
+        parts.state.view.apply_endpoints_update(
             read=EndpointsUpdate(
                 revision=Revision(self.revision),
                 entries=tuple(each.entry for each in self.endpoints.values()),
--- a/dotterelpaddle/tests/owners/hosts.py
+++ b/dotterelpaddle/tests/owners/hosts.py
@@ -97,7 +97,7 @@
     @property
     def takes_callers(self) -> bool:
         """Whether the balancer sends callers there."""
-        if self.parts is None or not self.parts.knowledge.view.entries:
+        if self.parts is None or not self.parts.state.view.entries:
             return False
         return anyio.current_time() < self.stopping_since + BALANCER_TIME
 
--- a/dotterelpaddle/tests/owners/test_routers.py
+++ b/dotterelpaddle/tests/owners/test_routers.py
@@ -54,9 +54,9 @@
     await fleet.add_runner("runner-2")
     for link in (100, 100, 10, 1):
         await fleet.add_router(link=link)
-    owner = fleet.routers[OWNER].parts.knowledge.directory.own.router
+    owner = fleet.routers[OWNER].parts.state.directory.own.router
     for router in fleet.routers:
-        directory = router.parts.knowledge.directory
+        directory = router.parts.state.directory
         await until(lambda d=directory: _owner(d) == owner)
         await until(lambda r=router: r.parts.app.ready)
     return Heard(fleet=fleet, place=OWNER)
@@ -110,8 +110,8 @@
     async with run_fleet(routers=0) as fleet:
         await _start(fleet)
         counts = fleet.routers[OWNER].parts.owners._owner._counts
-        loads = fleet.routers[ASKING].parts.knowledge.loads
-        endpoint = fleet.routers[ASKING].parts.knowledge.view.entries[0].endpoint
+        loads = fleet.routers[ASKING].parts.state.loads
+        endpoint = fleet.routers[ASKING].parts.state.view.entries[0].endpoint
         with loads.track(endpoint=endpoint):
             await until(lambda: counts.loads.get(endpoint) == 1)
         await until(lambda: not counts.loads)
@@ -121,7 +121,7 @@
     """Guards against grants of endpoints that only the asking router knows to leave."""
     async with run_fleet(routers=0) as fleet:
         heard = await _start(fleet)
-        view = fleet.routers[ASKING].parts.knowledge.view
+        view = fleet.routers[ASKING].parts.state.view
         leaving = EndpointId("runner-1")
         view.leaving.record(endpoint=leaving)
         await fleet.add_runner("runner-3")
--- a/dotterelpaddle/tests/owners/test_starts.py
+++ b/dotterelpaddle/tests/owners/test_starts.py
@@ -34,7 +34,7 @@
     for router in fleet.routers:
         if router.parts is None:
             return False
-        named = router.parts.knowledge.directory.owners()
+        named = router.parts.state.directory.owners()
         owners.append({domain: name.router for domain, name in named.items()})
     return owners[0].keys() == set(DOMAINS) and all(
         each == owners[0] for each in owners
--- a/dotterelpaddle/tests/peers/fleet.py
+++ b/dotterelpaddle/tests/peers/fleet.py
@@ -80,7 +80,7 @@
             link=link,
             clock=self.clock,
         )
-        knowledge, exchange = parts.knowledge, parts.exchange
+        knowledge, exchange = parts.state, parts.exchange
         exchange._generator = self.dice
         node = Node(
             name=knowledge.directory.own,
