--- a/dotterelpaddle/forwarding/parts.py
+++ b/dotterelpaddle/forwarding/parts.py
@@ -149,7 +149,9 @@
         self.state.directory.announce_leaving()
 
 
-def build_parts(*, settings: ForwardSettings, surroundings: Dependencies) -> Components:
+def build_components(
+    *, settings: ForwardSettings, surroundings: Dependencies
+) -> Components:
     """Put the parts of a router together.
 
     Args:
--- a/dotterelpaddle/forwarding/router.py
+++ b/dotterelpaddle/forwarding/router.py
@@ -9,7 +9,7 @@
 import anyio
 
 from dotterelpaddle.forwarding.caller_protocol import caller_protocol
-from dotterelpaddle.forwarding.parts import build_parts
+from dotterelpaddle.forwarding.parts import build_components
 from dotterelpaddle.forwarding.readiness import ReadinessApp
 from dotterelpaddle.http_server import serve
 from dotterelpaddle.logs import get_logger
@@ -69,7 +69,7 @@
     Yields:
         The router. It serves once it knows configuration and endpoints.
     """
-    parts = build_parts(settings=settings, surroundings=surroundings)
+    parts = build_components(settings=settings, surroundings=surroundings)
     app, knowledge = parts.app, parts.state
     grace = settings.shutdown_timeout - settings.drain_time - STOP_MARGIN
     async with (
--- a/dotterelpaddle/tests/owners/hosts.py
+++ b/dotterelpaddle/tests/owners/hosts.py
@@ -12,7 +12,7 @@
 import anyio
 
 from dotterelpaddle.address import Address
-from dotterelpaddle.forwarding.parts import Components, Dependencies, build_parts
+from dotterelpaddle.forwarding.parts import Components, Dependencies, build_components
 from dotterelpaddle.forwarding.repeats import RepeatLimits
 from dotterelpaddle.forwarding.settings import ForwardSettings
 from dotterelpaddle.ids import FailureDomain, RouterId
@@ -124,7 +124,7 @@
         protocols: Translates requests and answers, where there are any.
     """
     unused: Any = None
-    return build_parts(
+    return build_components(
         settings=ForwardSettings(
             router=router,
             failure_domain=failure_domain,
