--- a/dotterelpaddle/forwarding/caches.py
+++ b/dotterelpaddle/forwarding/caches.py
@@ -25,7 +25,7 @@
     from dotterelpaddle.forwarding.uses import PartTag, Use
     from dotterelpaddle.ids import EndpointId, ModelId
 
-REMEMBERED_TIME = 120.0
+PART_EXPIRY_SECONDS = 120.0
 """Seconds without use after which a part counts as dropped by its endpoint."""
 
 MOST_PARTS = 20_000
@@ -94,7 +94,7 @@
 
         A part counts only where all parts before it are.
         """
-        oldest = self._clock() - REMEMBERED_TIME
+        oldest = self._clock() - PART_EXPIRY_SECONDS
         cached: dict[EndpointId, int] = {}
         before: Collection[EndpointId] | None = None
         for part in shared_parts(request=request):
