--- a/dotterelpaddle/forwarding/caches.py
+++ b/dotterelpaddle/forwarding/caches.py
@@ -28,7 +28,7 @@
 PART_EXPIRY_SECONDS = 120.0
 """Seconds without use after which a part counts as dropped by its endpoint."""
 
-MOST_PARTS = 20_000
+MAX_PARTS = 20_000
 """Parts that are remembered: 3 MB, and far more than endpoints can keep."""
 
 KNOWN_WAIT = 0.3
@@ -178,7 +178,7 @@
             holders = self._holders[held] = {}
         holders[endpoint] = now
         self._holders.move_to_end(held)
-        if len(self._holders) > MOST_PARTS:
+        if len(self._holders) > MAX_PARTS:
             dropped, endpoints = self._holders.popitem(last=False)
             for each in endpoints:
                 self._told.pop((dropped, each), None)
