--- a/dotterelpaddle/forwarding/caches.py
+++ b/dotterelpaddle/forwarding/caches.py
@@ -31,7 +31,7 @@
 MAX_PARTS = 20_000
 """Parts that are remembered: 3 MB, and far more than endpoints can keep."""
 
-KNOWN_WAIT = 0.3
+MAX_STARTUP_WAIT_SECONDS = 0.3
 """Seconds that requests wait after a router's start to learn where parts are; it
 takes about 0.1 s, and reading a prompt of 10,000 tokens 0.12 s and more."""
 
@@ -86,7 +86,7 @@
         A prompt that is placed before is read again at an endpoint that does not
         have it, which takes as long as the wait and makes others wait as well.
         """
-        with anyio.move_on_after(KNOWN_WAIT):
+        with anyio.move_on_after(MAX_STARTUP_WAIT_SECONDS):
             await self._known.wait()
 
     def cached(self, *, request: HasPrompt) -> dict[EndpointId, int]:
