--- a/dotterelpaddle/forwarding/caches.py
+++ b/dotterelpaddle/forwarding/caches.py
@@ -35,7 +35,7 @@
 """Seconds that requests wait after a router's start to learn where parts are; it
 takes about 0.1 s, and reading a prompt of 10,000 tokens 0.12 s and more."""
 
-RETELL_TIME = 20.0
+MIN_REPEAT_REPORT_SECONDS = 20.0
 """Seconds until others are told again that a part is used where it was known to be;
 they forget it after six times that."""
 
@@ -166,7 +166,10 @@
         """Note a use, and let others be told unless they have been of late."""
         part, endpoint = use
         is_new = endpoint not in self._holders.get(part, ())
-        if is_new or now - self._told.get(use, float("-inf")) >= RETELL_TIME:
+        if (
+            is_new
+            or now - self._told.get(use, float("-inf")) >= MIN_REPEAT_REPORT_SECONDS
+        ):
             self._told[use] = now
             if origin is not None:
                 self._news[origin].put(use=use)
--- a/dotterelpaddle/tests/forwarding/test_caches.py
+++ b/dotterelpaddle/tests/forwarding/test_caches.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from dotterelpaddle.forwarding.caches import RETELL_TIME, CacheMap, Origin
+from dotterelpaddle.forwarding.caches import MIN_REPEAT_REPORT_SECONDS, CacheMap, Origin
 from dotterelpaddle.forwarding.uses import MOST_USES_TOLD, TIMES_TOLD
 from dotterelpaddle.ids import EndpointId
 from dotterelpaddle.tests.forwarding.entries import make_request
@@ -51,7 +51,7 @@
 
     caches.note_part(endpoint=A, part=1)
     at_once = caches.news()
-    now = RETELL_TIME
+    now = MIN_REPEAT_REPORT_SECONDS
     caches.note_part(endpoint=A, part=1)
 
     assert at_once == []
