--- a/dotterelpaddle/forwarding/caches.py
+++ b/dotterelpaddle/forwarding/caches.py
@@ -40,7 +40,7 @@
 they forget it after six times that."""
 
 
-class Origin(Enum):
+class UseOrigin(Enum):
     """Where a use was heard of, which decides who is told of it."""
 
     OWN = "own"
@@ -59,9 +59,9 @@
         self._clock = clock
         self._holders: OrderedDict[PartTag, dict[EndpointId, float]] = OrderedDict()
         self._news = {
-            Origin.OWN: UseQueue(),
-            Origin.NEAR: UseQueue(most=MOST_USES_PASSED_ON),
-            Origin.FAR: UseQueue(most=MOST_USES_PASSED_ON),
+            UseOrigin.OWN: UseQueue(),
+            UseOrigin.NEAR: UseQueue(most=MOST_USES_PASSED_ON),
+            UseOrigin.FAR: UseQueue(most=MOST_USES_PASSED_ON),
         }
         self._told: dict[Use, float] = {}
         self._known = anyio.Event()
@@ -133,13 +133,13 @@
             self._holders.get(part, {}).pop(endpoint, None)
             use = (part, endpoint)
             self._told.pop(use, None)
-            self._news[Origin.OWN].discard(use=use)
+            self._news[UseOrigin.OWN].discard(use=use)
 
     def note_part(self, *, endpoint: EndpointId, part: PartTag) -> None:
         """Note that an endpoint has a part, and tell other routers."""
-        self._take_in((part, endpoint), Origin.OWN, self._clock())
+        self._take_in((part, endpoint), UseOrigin.OWN, self._clock())
 
-    def hear(self, *, uses: Iterable[Use], pass_on: Origin | None = None) -> None:
+    def hear(self, *, uses: Iterable[Use], pass_on: UseOrigin | None = None) -> None:
         """Take in where another router sent requests.
 
         Args:
@@ -150,7 +150,7 @@
         for use in uses:
             self._take_in(use, pass_on, now)
 
-    def news(self, *, origin: Origin = Origin.OWN) -> list[Use]:
+    def news(self, *, origin: UseOrigin = UseOrigin.OWN) -> list[Use]:
         """The next uses of an origin to tell the others; each is told a few times."""
         return self._news[origin].take()
 
@@ -162,7 +162,7 @@
             for endpoint in holders
         ]
 
-    def _take_in(self, use: Use, origin: Origin | None, now: float) -> None:
+    def _take_in(self, use: Use, origin: UseOrigin | None, now: float) -> None:
         """Note a use, and let others be told unless they have been of late."""
         part, endpoint = use
         is_new = endpoint not in self._holders.get(part, ())
--- a/dotterelpaddle/peers/exchange.py
+++ b/dotterelpaddle/peers/exchange.py
@@ -9,7 +9,7 @@
 import anyio
 
 from dotterelpaddle.exceptions import ControlError
-from dotterelpaddle.forwarding.caches import Origin
+from dotterelpaddle.forwarding.caches import UseOrigin
 from dotterelpaddle.forwarding.shares import Ask, Scope, Share
 from dotterelpaddle.ids import Revision
 from dotterelpaddle.logs import get_logger
@@ -55,9 +55,9 @@
 """Routers with the best ranks that are named each time; the others take turns."""
 
 TOLD_BY_SCOPE = {
-    Scope.ROUTER: (Origin.OWN,),
-    Scope.DOMAIN: (Origin.OWN, Origin.NEAR),
-    Scope.OTHERS: (Origin.OWN, Origin.NEAR, Origin.FAR),
+    Scope.ROUTER: (UseOrigin.OWN,),
+    Scope.DOMAIN: (UseOrigin.OWN, UseOrigin.NEAR),
+    Scope.OTHERS: (UseOrigin.OWN, UseOrigin.NEAR, UseOrigin.FAR),
 }
 """Whose uses of parts go with a report: those that its recipient hears of nowhere
 else."""
@@ -148,7 +148,7 @@
             crashes=tuple(self._crashes.news()),
             leaving_endpoints=self._view.leaving.take_due_notices(),
         )
-        uses = {origin: self._caches.news(origin=origin) for origin in Origin}
+        uses = {origin: self._caches.news(origin=origin) for origin in UseOrigin}
         written: dict[tuple[Scope, Ask], bytes] = {}
         for recipient in recipients:
             # Only an aggregate for one router differs from recipient to recipient.
@@ -166,7 +166,7 @@
         *,
         report: PeerReport,
         recipient: Recipient,
-        uses: Mapping[Origin, list[Use]],
+        uses: Mapping[UseOrigin, list[Use]],
     ) -> PeerReport:
         """Fill in what differs from recipient to recipient."""
         return replace(
@@ -299,10 +299,10 @@
             self._view.evacuations.apply_snapshot(told=report.evacuated)
         return not known or report.ask is Ask.ANSWER
 
-    def _origin(self, *, report: PeerReport) -> Origin | None:
+    def _origin(self, *, report: PeerReport) -> UseOrigin | None:
         """Tell for whom a report's uses are news that this router passes on."""
         if report.ask is Ask.AGGREGATE:
-            return Origin.NEAR
+            return UseOrigin.NEAR
         if report.share.scope is Scope.DOMAIN:
-            return Origin.FAR
+            return UseOrigin.FAR
         return None
--- a/dotterelpaddle/tests/forwarding/test_caches.py
+++ b/dotterelpaddle/tests/forwarding/test_caches.py
@@ -2,7 +2,11 @@
 
 from __future__ import annotations
 
-from dotterelpaddle.forwarding.caches import MIN_REPEAT_REPORT_SECONDS, CacheMap, Origin
+from dotterelpaddle.forwarding.caches import (
+    MIN_REPEAT_REPORT_SECONDS,
+    CacheMap,
+    UseOrigin,
+)
 from dotterelpaddle.forwarding.uses import MOST_USES_TOLD, TIMES_TOLD
 from dotterelpaddle.ids import EndpointId
 from dotterelpaddle.tests.forwarding.entries import make_request
@@ -61,9 +65,9 @@
 def test_use_is_passed_on_as_news_of_its_origin() -> None:
     caches = CacheMap(clock=lambda: 0.0)
 
-    caches.hear(uses=[(1, A)], pass_on=Origin.NEAR)
+    caches.hear(uses=[(1, A)], pass_on=UseOrigin.NEAR)
     caches.hear(uses=[(2, A)])
 
-    assert caches.news(origin=Origin.NEAR) == [(1, A)]
-    assert caches.news(origin=Origin.FAR) == []
+    assert caches.news(origin=UseOrigin.NEAR) == [(1, A)]
+    assert caches.news(origin=UseOrigin.FAR) == []
     assert caches.news() == []
