--- a/dotterelpaddle/forwarding/caches.py
+++ b/dotterelpaddle/forwarding/caches.py
@@ -43,7 +43,7 @@
 class UseOrigin(Enum):
     """Where a use was heard of, which decides who is told of it."""
 
-    OWN = "own"
+    LOCAL = "own"
     NEAR = "near"
     FAR = "far"
 
@@ -59,7 +59,7 @@
         self._clock = clock
         self._holders: OrderedDict[PartTag, dict[EndpointId, float]] = OrderedDict()
         self._news = {
-            UseOrigin.OWN: UseQueue(),
+            UseOrigin.LOCAL: UseQueue(),
             UseOrigin.NEAR: UseQueue(most=MOST_USES_PASSED_ON),
             UseOrigin.FAR: UseQueue(most=MOST_USES_PASSED_ON),
         }
@@ -133,11 +133,11 @@
             self._holders.get(part, {}).pop(endpoint, None)
             use = (part, endpoint)
             self._told.pop(use, None)
-            self._news[UseOrigin.OWN].discard(use=use)
+            self._news[UseOrigin.LOCAL].discard(use=use)
 
     def note_part(self, *, endpoint: EndpointId, part: PartTag) -> None:
         """Note that an endpoint has a part, and tell other routers."""
-        self._take_in((part, endpoint), UseOrigin.OWN, self._clock())
+        self._take_in((part, endpoint), UseOrigin.LOCAL, self._clock())
 
     def hear(self, *, uses: Iterable[Use], pass_on: UseOrigin | None = None) -> None:
         """Take in where another router sent requests.
@@ -150,7 +150,7 @@
         for use in uses:
             self._take_in(use, pass_on, now)
 
-    def news(self, *, origin: UseOrigin = UseOrigin.OWN) -> list[Use]:
+    def news(self, *, origin: UseOrigin = UseOrigin.LOCAL) -> list[Use]:
         """The next uses of an origin to tell the others; each is told a few times."""
         return self._news[origin].take()
 
--- a/dotterelpaddle/peers/exchange.py
+++ b/dotterelpaddle/peers/exchange.py
@@ -55,9 +55,9 @@
 """Routers with the best ranks that are named each time; the others take turns."""
 
 TOLD_BY_SCOPE = {
-    Scope.ROUTER: (UseOrigin.OWN,),
-    Scope.DOMAIN: (UseOrigin.OWN, UseOrigin.NEAR),
-    Scope.OTHERS: (UseOrigin.OWN, UseOrigin.NEAR, UseOrigin.FAR),
+    Scope.ROUTER: (UseOrigin.LOCAL,),
+    Scope.DOMAIN: (UseOrigin.LOCAL, UseOrigin.NEAR),
+    Scope.OTHERS: (UseOrigin.LOCAL, UseOrigin.NEAR, UseOrigin.FAR),
 }
 """Whose uses of parts go with a report: those that its recipient hears of nowhere
 else."""
