--- a/dotterelpaddle/forwarding/caches.py
+++ b/dotterelpaddle/forwarding/caches.py
@@ -44,7 +44,7 @@
     """Where a use was heard of, which decides who is told of it."""
 
     LOCAL = "own"
-    NEAR = "near"
+    SAME_DOMAIN = "near"
     FAR = "far"
 
 
@@ -60,7 +60,7 @@
         self._holders: OrderedDict[PartTag, dict[EndpointId, float]] = OrderedDict()
         self._news = {
             UseOrigin.LOCAL: UseQueue(),
-            UseOrigin.NEAR: UseQueue(most=MOST_USES_PASSED_ON),
+            UseOrigin.SAME_DOMAIN: UseQueue(most=MOST_USES_PASSED_ON),
             UseOrigin.FAR: UseQueue(most=MOST_USES_PASSED_ON),
         }
         self._told: dict[Use, float] = {}
--- a/dotterelpaddle/peers/exchange.py
+++ b/dotterelpaddle/peers/exchange.py
@@ -56,8 +56,8 @@
 
 TOLD_BY_SCOPE = {
     Scope.ROUTER: (UseOrigin.LOCAL,),
-    Scope.DOMAIN: (UseOrigin.LOCAL, UseOrigin.NEAR),
-    Scope.OTHERS: (UseOrigin.LOCAL, UseOrigin.NEAR, UseOrigin.FAR),
+    Scope.DOMAIN: (UseOrigin.LOCAL, UseOrigin.SAME_DOMAIN),
+    Scope.OTHERS: (UseOrigin.LOCAL, UseOrigin.SAME_DOMAIN, UseOrigin.FAR),
 }
 """Whose uses of parts go with a report: those that its recipient hears of nowhere
 else."""
@@ -302,7 +302,7 @@
     def _origin(self, *, report: PeerReport) -> UseOrigin | None:
         """Tell for whom a report's uses are news that this router passes on."""
         if report.ask is Ask.AGGREGATE:
-            return UseOrigin.NEAR
+            return UseOrigin.SAME_DOMAIN
         if report.share.scope is Scope.DOMAIN:
             return UseOrigin.FAR
         return None
--- a/dotterelpaddle/tests/forwarding/test_caches.py
+++ b/dotterelpaddle/tests/forwarding/test_caches.py
@@ -65,9 +65,9 @@
 def test_use_is_passed_on_as_news_of_its_origin() -> None:
     caches = CacheMap(clock=lambda: 0.0)
 
-    caches.hear(uses=[(1, A)], pass_on=UseOrigin.NEAR)
+    caches.hear(uses=[(1, A)], pass_on=UseOrigin.SAME_DOMAIN)
     caches.hear(uses=[(2, A)])
 
-    assert caches.news(origin=UseOrigin.NEAR) == [(1, A)]
+    assert caches.news(origin=UseOrigin.SAME_DOMAIN) == [(1, A)]
     assert caches.news(origin=UseOrigin.FAR) == []
     assert caches.news() == []
