--- a/dotterelpaddle/forwarding/caches.py
+++ b/dotterelpaddle/forwarding/caches.py
@@ -45,7 +45,7 @@
 
     LOCAL = "own"
     SAME_DOMAIN = "near"
-    FAR = "far"
+    OTHER_DOMAIN = "far"
 
 
 class CacheMap:
@@ -61,7 +61,7 @@
         self._news = {
             UseOrigin.LOCAL: UseQueue(),
             UseOrigin.SAME_DOMAIN: UseQueue(most=MOST_USES_PASSED_ON),
-            UseOrigin.FAR: UseQueue(most=MOST_USES_PASSED_ON),
+            UseOrigin.OTHER_DOMAIN: UseQueue(most=MOST_USES_PASSED_ON),
         }
         self._told: dict[Use, float] = {}
         self._known = anyio.Event()
--- a/dotterelpaddle/peers/exchange.py
+++ b/dotterelpaddle/peers/exchange.py
@@ -57,7 +57,7 @@
 TOLD_BY_SCOPE = {
     Scope.ROUTER: (UseOrigin.LOCAL,),
     Scope.DOMAIN: (UseOrigin.LOCAL, UseOrigin.SAME_DOMAIN),
-    Scope.OTHERS: (UseOrigin.LOCAL, UseOrigin.SAME_DOMAIN, UseOrigin.FAR),
+    Scope.OTHERS: (UseOrigin.LOCAL, UseOrigin.SAME_DOMAIN, UseOrigin.OTHER_DOMAIN),
 }
 """Whose uses of parts go with a report: those that its recipient hears of nowhere
 else."""
@@ -304,5 +304,5 @@
         if report.ask is Ask.AGGREGATE:
             return UseOrigin.SAME_DOMAIN
         if report.share.scope is Scope.DOMAIN:
-            return UseOrigin.FAR
+            return UseOrigin.OTHER_DOMAIN
         return None
--- a/dotterelpaddle/tests/forwarding/test_caches.py
+++ b/dotterelpaddle/tests/forwarding/test_caches.py
@@ -69,5 +69,5 @@
     caches.hear(uses=[(2, A)])
 
     assert caches.news(origin=UseOrigin.SAME_DOMAIN) == [(1, A)]
-    assert caches.news(origin=UseOrigin.FAR) == []
+    assert caches.news(origin=UseOrigin.OTHER_DOMAIN) == []
     assert caches.news() == []
