--- a/dotterelpaddle/forwarding/caches.py
+++ b/dotterelpaddle/forwarding/caches.py
@@ -67,7 +67,7 @@
         self._known = anyio.Event()
 
     @property
-    def parts(self) -> int:
+    def part_count(self) -> int:
         """Parts that are remembered."""
         return len(self._holders)
 
--- a/dotterelpaddle/tests/peers/test_cache_lists.py
+++ b/dotterelpaddle/tests/peers/test_cache_lists.py
@@ -108,7 +108,7 @@
 
     assert early == 0
     assert len(world.asked) == MOST_READ_BY_EACH + 1
-    assert world.caches.parts == 1
+    assert world.caches.part_count == 1
 
 
 async def test_the_others_wait_for_it_and_not_for_ever() -> None:
--- a/dotterelpaddle/tests/peers/test_plan.py
+++ b/dotterelpaddle/tests/peers/test_plan.py
@@ -136,7 +136,7 @@
 
     await fleet.run(3.0)
 
-    assert {node.caches.parts for node in fleet.nodes} == {30}
+    assert {node.caches.part_count for node in fleet.nodes} == {30}
 
 
 async def test_each_failure_domain_has_one_owner_that_all_know() -> None:
