--- a/dotterelpaddle/forwarding/caches.py
+++ b/dotterelpaddle/forwarding/caches.py
@@ -72,7 +72,7 @@
         return len(self._holders)
 
     @property
-    def known(self) -> bool:
+    def is_populated(self) -> bool:
         """Whether what endpoints had cached before this process began is known."""
         return self._known.is_set()
 
--- a/dotterelpaddle/peers/cache_lists.py
+++ b/dotterelpaddle/peers/cache_lists.py
@@ -124,7 +124,7 @@
         """Ask engines, if it is due and this router's part."""
         owns = self._word.owns
         became_owner = bool(owns) and not self._owned
-        if not self._view.complete or (self._caches.known and not became_owner):
+        if not self._view.complete or (self._caches.is_populated and not became_owner):
             return
         asked = self._view.evacuations.exclude_evacuated(
             entries=self._view.routed_entries
--- a/dotterelpaddle/peers/exchange.py
+++ b/dotterelpaddle/peers/exchange.py
@@ -205,7 +205,7 @@
             domains=tuple(
                 {peer.name.failure_domain for peer in self._directory.just_heard()}
             ),
-            parts=self._caches.part_count if self._caches.known else 0,
+            parts=self._caches.part_count if self._caches.is_populated else 0,
             peers=names,
             leaving=self._directory.leaving,
             silent_owners=self._owners.silent,
--- a/dotterelpaddle/peers/fetching.py
+++ b/dotterelpaddle/peers/fetching.py
@@ -101,7 +101,7 @@
         """Fetch what is lacking until cancelled."""
         async with self._pool:
             while True:
-                pause = FETCH_PAUSE if self._caches.known else START_PAUSE
+                pause = FETCH_PAUSE if self._caches.is_populated else START_PAUSE
                 await anyio.sleep(pause * self._generator.uniform(0.8, 1.2))
                 peer = self._better_informed()
                 if peer is None:
@@ -141,7 +141,7 @@
         for each of hundreds of routers that start at once would take one that hands
         them out over a small link half a minute.
         """
-        return not self._caches.known and not self._word.many_routers
+        return not self._caches.is_populated and not self._word.many_routers
 
     async def _fetch(self, *, peer: Peer) -> None:
         """Fetch what another router knows.
--- a/dotterelpaddle/tests/peers/test_cache_lists.py
+++ b/dotterelpaddle/tests/peers/test_cache_lists.py
@@ -96,7 +96,7 @@
     await world.look(ALONE_AFTER)
 
     assert len(world.asked) == MOST_READ_BY_EACH
-    assert world.caches.known
+    assert world.caches.is_populated
 
 
 async def test_one_router_asks_many_engines() -> None:
@@ -115,11 +115,11 @@
     world = World(engines=MOST_READ_BY_EACH + 1, first=False)
 
     await world.look(FIRST_AFTER)
-    waiting = world.caches.known
+    waiting = world.caches.is_populated
     await world.look(GIVEN_UP_AFTER)
 
     assert not waiting
-    assert world.caches.known
+    assert world.caches.is_populated
     assert not world.asked
 
 
@@ -145,7 +145,7 @@
     world.word.owns = False
     await world.look(FIRST_AFTER)
 
-    assert world.caches.known
+    assert world.caches.is_populated
     assert not world.asked
 
 
