--- a/dotterelpaddle/forwarding/caches.py
+++ b/dotterelpaddle/forwarding/caches.py
@@ -76,7 +76,7 @@
         """Whether what endpoints had cached before this process began is known."""
         return self._known.is_set()
 
-    def mark_known(self) -> None:
+    def mark_populated(self) -> None:
         """Note that it is, or can't be."""
         self._known.set()
 
--- a/dotterelpaddle/forwarding/parts.py
+++ b/dotterelpaddle/forwarding/parts.py
@@ -336,7 +336,7 @@
     caches = CacheMap(clock=clock)
     if settings.first_start:
         # The whole fleet starts for the first time: no endpoint has cached anything.
-        caches.mark_known()
+        caches.mark_populated()
     directory = PeerDirectory(
         own=PeerName(
             router=settings.router,
--- a/dotterelpaddle/peers/cache_lists.py
+++ b/dotterelpaddle/peers/cache_lists.py
@@ -137,7 +137,7 @@
             first=self._word.is_platform_reader,
         ):
             case Asking.NONE:
-                self._caches.mark_known()
+                self._caches.mark_populated()
             case Asking.OWN_DOMAIN:
                 self._owned = True
                 own = self._failure_domain
@@ -155,7 +155,7 @@
                 for entry in engines:
                     reads.start_soon(self._read_one, entry)
             tasks.cancel_scope.cancel()
-        self._caches.mark_known()
+        self._caches.mark_populated()
 
     async def _mark_known_soon(self) -> None:
         """Let requests go on while some engines have not answered.
@@ -163,7 +163,7 @@
         Engines behind a cut never do; what the others told is all that can be used.
         """
         await anyio.sleep(ENOUGH_TIME)
-        self._caches.mark_known()
+        self._caches.mark_populated()
 
     async def _read_one(self, entry: EndpointEntry) -> None:
         if self._quiet.is_backing_off(endpoint=entry.endpoint):
--- a/dotterelpaddle/peers/fetching.py
+++ b/dotterelpaddle/peers/fetching.py
@@ -168,7 +168,7 @@
             self._view.apply_endpoints_update(read=snapshot.endpoints)
         if request.uses:
             self._caches.hear(uses=snapshot.uses)
-            self._caches.mark_known()
+            self._caches.mark_populated()
         age = self._platform_age()
         log.info(
             "snapshot_taken",
--- a/dotterelpaddle/tests/forwarding/crash_world.py
+++ b/dotterelpaddle/tests/forwarding/crash_world.py
@@ -259,7 +259,7 @@
             tasks.start_soon(parts.reachability.run)
             tasks.start_soon(parts.endings.run)
             self._tell(parts, names=tuple(self._entries), whole=True)
-            parts.state.caches.mark_known()
+            parts.state.caches.mark_populated()
             await host.stopping.wait()
             parts.announce_leaving()
             while parts.app.in_flight:
