--- a/dotterelpaddle/forwarding/attempts.py
+++ b/dotterelpaddle/forwarding/attempts.py
@@ -110,7 +110,7 @@
             RequestError: If none did and none may follow.
         """
         if exchange.request.prompt:
-            await self._caches.wait_known()
+            await self._caches.wait_until_populated()
         tried = Tried()
         failure: EndpointError | None = None
         while True:
--- a/dotterelpaddle/forwarding/caches.py
+++ b/dotterelpaddle/forwarding/caches.py
@@ -80,7 +80,7 @@
         """Note that it is, or can't be."""
         self._known.set()
 
-    async def wait_known(self) -> None:
+    async def wait_until_populated(self) -> None:
         """Wait until it is known, for a moment at most.
 
         A prompt that is placed before is read again at an endpoint that does not
