--- a/dotterelpaddle/forwarding/cached_prompts.py
+++ b/dotterelpaddle/forwarding/cached_prompts.py
@@ -98,7 +98,7 @@
         ]
         holders = self._reachability.reachable(entries=holders)
         total = shared_tokens(request=request)
-        cached = self._caches.cached(request=request)
+        cached = self._caches.cached_tokens(request=request)
         missing = {
             entry.endpoint: total - cached.get(entry.endpoint, 0)
             for entry in (*holders, *candidates)
--- a/dotterelpaddle/forwarding/caches.py
+++ b/dotterelpaddle/forwarding/caches.py
@@ -89,7 +89,7 @@
         with anyio.move_on_after(MAX_STARTUP_WAIT_SECONDS):
             await self._known.wait()
 
-    def cached(self, *, request: HasPrompt) -> dict[EndpointId, int]:
+    def cached_tokens(self, *, request: HasPrompt) -> dict[EndpointId, int]:
         """Tell how many tokens of shared parts endpoints have; most have none.
 
         A part counts only where all parts before it are.
@@ -111,7 +111,7 @@
     def missing(self, *, endpoint: EndpointId, request: HasPrompt) -> int:
         """Tell how many tokens of shared parts an endpoint would have to read."""
         total = shared_tokens(request=request)
-        return total - self.cached(request=request).get(endpoint, 0)
+        return total - self.cached_tokens(request=request).get(endpoint, 0)
 
     def note(self, *, endpoint: EndpointId, request: HasPrompt) -> tuple[PartTag, ...]:
         """Note that an endpoint reads a request's prompt.
