--- a/dotterelpaddle/forwarding/caches.py
+++ b/dotterelpaddle/forwarding/caches.py
@@ -108,7 +108,7 @@
                 cached[endpoint] = cached.get(endpoint, 0) + part.tokens
         return cached
 
-    def missing(self, *, endpoint: EndpointId, request: HasPrompt) -> int:
+    def missing_tokens(self, *, endpoint: EndpointId, request: HasPrompt) -> int:
         """Tell how many tokens of shared parts an endpoint would have to read."""
         total = shared_tokens(request=request)
         return total - self.cached_tokens(request=request).get(endpoint, 0)
