--- a/dotterelpaddle/forwarding/caches.py
+++ b/dotterelpaddle/forwarding/caches.py
@@ -113,7 +113,9 @@
         total = shared_tokens(request=request)
         return total - self.cached_tokens(request=request).get(endpoint, 0)
 
-    def note(self, *, endpoint: EndpointId, request: HasPrompt) -> tuple[PartTag, ...]:
+    def record_prompt(
+        self, *, endpoint: EndpointId, request: HasPrompt
+    ) -> tuple[PartTag, ...]:
         """Note that an endpoint reads a request's prompt.
 
         Returns:
--- a/dotterelpaddle/forwarding/placement.py
+++ b/dotterelpaddle/forwarding/placement.py
@@ -251,7 +251,9 @@
         """
         if not shared_parts(request=request):
             return choice
-        noted = self._caches.note(endpoint=choice.entry.endpoint, request=request)
+        noted = self._caches.record_prompt(
+            endpoint=choice.entry.endpoint, request=request
+        )
         return replace(choice, new_parts=noted)
 
     def _share(self, entry: EndpointEntry) -> float:
--- a/dotterelpaddle/tests/forwarding/test_caches.py
+++ b/dotterelpaddle/tests/forwarding/test_caches.py
@@ -30,18 +30,18 @@
 
 def test_part_counts_only_with_all_parts_before_it() -> None:
     caches = CacheMap(clock=lambda: 0.0)
-    caches.note(endpoint=A, request=make_request(("chat", 10_000)))
+    caches.record_prompt(endpoint=A, request=make_request(("chat", 10_000)))
 
     assert caches.missing_tokens(endpoint=A, request=LONG) == 10_500
-    caches.note(endpoint=A, request=make_request(("system", 500)))
+    caches.record_prompt(endpoint=A, request=make_request(("system", 500)))
     assert caches.missing_tokens(endpoint=A, request=LONG) == 0
     assert caches.missing_tokens(endpoint=B, request=LONG) == 10_500
 
 
 def test_prompt_that_never_arrived_is_forgotten() -> None:
     caches = CacheMap(clock=lambda: 0.0)
-    caches.note(endpoint=A, request=make_request(("system", 500)))
-    noted = caches.note(endpoint=A, request=LONG)
+    caches.record_prompt(endpoint=A, request=make_request(("system", 500)))
+    noted = caches.record_prompt(endpoint=A, request=LONG)
     caches.retract(endpoint=A, parts=noted)
 
     assert caches.missing_tokens(endpoint=A, request=LONG) == 10_000
--- a/dotterelpaddle/tests/forwarding/test_herding.py
+++ b/dotterelpaddle/tests/forwarding/test_herding.py
@@ -62,7 +62,7 @@
         share=Share(scope=Scope.OTHERS, routers=routers - 1, loads=loads),
     )
     caches = CacheMap(clock=lambda: 0.0)
-    caches.note(endpoint=HOLDER, request=HOT)
+    caches.record_prompt(endpoint=HOLDER, request=HOT)
     return ForwardPlacer(
         view=view,
         loads=LoadTracker(shares=shares),
