--- a/dotterelpaddle/forwarding/attempts.py
+++ b/dotterelpaddle/forwarding/attempts.py
@@ -312,7 +312,7 @@
         assert route is not None
         entry = choice.entry
         if progress.attempt.proves_not_run:
-            self._caches.retract(endpoint=entry.endpoint, parts=choice.new_parts)
+            self._caches.retract_parts(endpoint=entry.endpoint, parts=choice.new_parts)
         match error:
             case EndpointReplaced():
                 self._health.record_replaced(entry=entry)
--- a/dotterelpaddle/forwarding/caches.py
+++ b/dotterelpaddle/forwarding/caches.py
@@ -129,7 +129,7 @@
             self.note_part(endpoint=endpoint, part=held)
         return tuple(new)
 
-    def retract(self, *, endpoint: EndpointId, parts: Iterable[PartTag]) -> None:
+    def retract_parts(self, *, endpoint: EndpointId, parts: Iterable[PartTag]) -> None:
         """Note that an endpoint did not get a prompt after all."""
         for part in parts:
             self._holders.get(part, {}).pop(endpoint, None)
--- a/dotterelpaddle/tests/forwarding/test_caches.py
+++ b/dotterelpaddle/tests/forwarding/test_caches.py
@@ -42,7 +42,7 @@
     caches = CacheMap(clock=lambda: 0.0)
     caches.record_prompt(endpoint=A, request=make_request(("system", 500)))
     noted = caches.record_prompt(endpoint=A, request=LONG)
-    caches.retract(endpoint=A, parts=noted)
+    caches.retract_parts(endpoint=A, parts=noted)
 
     assert caches.missing_tokens(endpoint=A, request=LONG) == 10_000
     assert len(caches.news()) == 1
