--- a/dotterelpaddle/forwarding/caches.py
+++ b/dotterelpaddle/forwarding/caches.py
@@ -126,7 +126,7 @@
             held = part_tag(model=request.model, part=part)
             if endpoint not in self._holders.get(held, ()):
                 new.append(held)
-            self.note_part(endpoint=endpoint, part=held)
+            self.record_part(endpoint=endpoint, part=held)
         return tuple(new)
 
     def retract_parts(self, *, endpoint: EndpointId, parts: Iterable[PartTag]) -> None:
@@ -137,7 +137,7 @@
             self._told.pop(use, None)
             self._news[UseOrigin.LOCAL].discard(use=use)
 
-    def note_part(self, *, endpoint: EndpointId, part: PartTag) -> None:
+    def record_part(self, *, endpoint: EndpointId, part: PartTag) -> None:
         """Note that an endpoint has a part, and tell other routers."""
         self._take_in((part, endpoint), UseOrigin.LOCAL, self._clock())
 
--- a/dotterelpaddle/tests/forwarding/test_caches.py
+++ b/dotterelpaddle/tests/forwarding/test_caches.py
@@ -18,7 +18,7 @@
 def test_uses_are_told_a_few_times_and_a_few_at_a_time() -> None:
     caches = CacheMap(clock=lambda: 0.0)
     for number in range(MOST_USES_TOLD + 10):
-        caches.note_part(endpoint=A, part=number)
+        caches.record_part(endpoint=A, part=number)
 
     reports = [caches.news() for _ in range(20)]
 
@@ -53,10 +53,10 @@
     caches = CacheMap(clock=lambda: now)
     caches.hear(uses=[(1, A)])
 
-    caches.note_part(endpoint=A, part=1)
+    caches.record_part(endpoint=A, part=1)
     at_once = caches.news()
     now = MIN_REPEAT_REPORT_SECONDS
-    caches.note_part(endpoint=A, part=1)
+    caches.record_part(endpoint=A, part=1)
 
     assert at_once == []
     assert caches.news() == [(1, A)]
--- a/dotterelpaddle/tests/forwarding/test_starts.py
+++ b/dotterelpaddle/tests/forwarding/test_starts.py
@@ -203,7 +203,7 @@
     loads = LoadTracker(shares=shares)
     _hear(view, (1, 0))
     (before,) = view.entries
-    caches.note_part(endpoint=before.endpoint, part=7)
+    caches.record_part(endpoint=before.endpoint, part=7)
     health.record_replaced(entry=before)
     health.record_hard_failure(entry=before, cause="broke off")
 
--- a/dotterelpaddle/tests/peers/test_plan.py
+++ b/dotterelpaddle/tests/peers/test_plan.py
@@ -132,7 +132,7 @@
     fleet = _fleet(routers=30, loss=0.05)
     await fleet.run(START_TIME)
     for number, node in enumerate(fleet.nodes):
-        node.caches.note_part(endpoint=A, part=number)
+        node.caches.record_part(endpoint=A, part=number)
 
     await fleet.run(3.0)
 
--- a/dotterelpaddle/tests/peers/test_snapshot.py
+++ b/dotterelpaddle/tests/peers/test_snapshot.py
@@ -46,7 +46,7 @@
 
 def _caches() -> CacheMap:
     caches = CacheMap(clock=lambda: 0.0)
-    caches.note_part(endpoint=EndpointId("a"), part=7)
+    caches.record_part(endpoint=EndpointId("a"), part=7)
     return caches
 
 
