--- a/dotterelpaddle/forwarding/caches.py
+++ b/dotterelpaddle/forwarding/caches.py
@@ -141,7 +141,7 @@
         """Note that an endpoint has a part, and tell other routers."""
         self._take_in((part, endpoint), UseOrigin.LOCAL, self._clock())
 
-    def hear(self, *, uses: Iterable[Use], pass_on: UseOrigin | None = None) -> None:
+    def receive(self, *, uses: Iterable[Use], pass_on: UseOrigin | None = None) -> None:
         """Take in where another router sent requests.
 
         Args:
--- a/dotterelpaddle/peers/cache_lists.py
+++ b/dotterelpaddle/peers/cache_lists.py
@@ -176,5 +176,5 @@
             return
         if cached.leaving:
             self._view.leaving.record(endpoint=cached.endpoint)
-        self._caches.hear(uses=[(part, cached.endpoint) for part in cached.parts])
+        self._caches.receive(uses=[(part, cached.endpoint) for part in cached.parts])
         log.info("cache_read", endpoint=cached.endpoint, parts=len(cached.parts))
--- a/dotterelpaddle/peers/exchange.py
+++ b/dotterelpaddle/peers/exchange.py
@@ -292,7 +292,7 @@
             ask=report.ask,
         )
         origin = self._origin(report=report)
-        self._caches.hear(uses=report.uses, pass_on=origin)
+        self._caches.receive(uses=report.uses, pass_on=origin)
         self._crashes.hear(notes=report.crashes, pass_on=origin is not None)
         self._view.leaving.receive(notes=report.leaving_endpoints)
         if report.evacuated is not None:
--- a/dotterelpaddle/peers/fetching.py
+++ b/dotterelpaddle/peers/fetching.py
@@ -167,7 +167,7 @@
         if snapshot.endpoints is not None:
             self._view.apply_endpoints_update(read=snapshot.endpoints)
         if request.uses:
-            self._caches.hear(uses=snapshot.uses)
+            self._caches.receive(uses=snapshot.uses)
             self._caches.mark_populated()
         age = self._platform_age()
         log.info(
--- a/dotterelpaddle/tests/forwarding/test_caches.py
+++ b/dotterelpaddle/tests/forwarding/test_caches.py
@@ -51,7 +51,7 @@
 def test_use_that_all_know_is_told_again_now_and_then() -> None:
     now = 0.0
     caches = CacheMap(clock=lambda: now)
-    caches.hear(uses=[(1, A)])
+    caches.receive(uses=[(1, A)])
 
     caches.record_part(endpoint=A, part=1)
     at_once = caches.news()
@@ -65,8 +65,8 @@
 def test_use_is_passed_on_as_news_of_its_origin() -> None:
     caches = CacheMap(clock=lambda: 0.0)
 
-    caches.hear(uses=[(1, A)], pass_on=UseOrigin.SAME_DOMAIN)
-    caches.hear(uses=[(2, A)])
+    caches.receive(uses=[(1, A)], pass_on=UseOrigin.SAME_DOMAIN)
+    caches.receive(uses=[(2, A)])
 
     assert caches.news(origin=UseOrigin.SAME_DOMAIN) == [(1, A)]
     assert caches.news(origin=UseOrigin.OTHER_DOMAIN) == []
