--- a/dotterelpaddle/forwarding/caches.py
+++ b/dotterelpaddle/forwarding/caches.py
@@ -152,7 +152,7 @@
         for use in uses:
             self._take_in(use, pass_on, now)
 
-    def news(self, *, origin: UseOrigin = UseOrigin.LOCAL) -> list[Use]:
+    def take_pending(self, *, origin: UseOrigin = UseOrigin.LOCAL) -> list[Use]:
         """The next uses of an origin to tell the others; each is told a few times."""
         return self._news[origin].take()
 
--- a/dotterelpaddle/peers/exchange.py
+++ b/dotterelpaddle/peers/exchange.py
@@ -148,7 +148,9 @@
             crashes=tuple(self._crashes.news()),
             leaving_endpoints=self._view.leaving.take_due_notices(),
         )
-        uses = {origin: self._caches.news(origin=origin) for origin in UseOrigin}
+        uses = {
+            origin: self._caches.take_pending(origin=origin) for origin in UseOrigin
+        }
         written: dict[tuple[Scope, Ask], bytes] = {}
         for recipient in recipients:
             # Only an aggregate for one router differs from recipient to recipient.
--- a/dotterelpaddle/tests/forwarding/test_caches.py
+++ b/dotterelpaddle/tests/forwarding/test_caches.py
@@ -20,7 +20,7 @@
     for number in range(MOST_USES_TOLD + 10):
         caches.record_part(endpoint=A, part=number)
 
-    reports = [caches.news() for _ in range(20)]
+    reports = [caches.take_pending() for _ in range(20)]
 
     told = [use for report in reports for use in report]
     assert max(len(report) for report in reports) == MOST_USES_TOLD
@@ -45,7 +45,7 @@
     caches.retract_parts(endpoint=A, parts=noted)
 
     assert caches.missing_tokens(endpoint=A, request=LONG) == 10_000
-    assert len(caches.news()) == 1
+    assert len(caches.take_pending()) == 1
 
 
 def test_use_that_all_know_is_told_again_now_and_then() -> None:
@@ -54,12 +54,12 @@
     caches.receive(uses=[(1, A)])
 
     caches.record_part(endpoint=A, part=1)
-    at_once = caches.news()
+    at_once = caches.take_pending()
     now = MIN_REPEAT_REPORT_SECONDS
     caches.record_part(endpoint=A, part=1)
 
     assert at_once == []
-    assert caches.news() == [(1, A)]
+    assert caches.take_pending() == [(1, A)]
 
 
 def test_use_is_passed_on_as_news_of_its_origin() -> None:
@@ -68,6 +68,6 @@
     caches.receive(uses=[(1, A)], pass_on=UseOrigin.SAME_DOMAIN)
     caches.receive(uses=[(2, A)])
 
-    assert caches.news(origin=UseOrigin.SAME_DOMAIN) == [(1, A)]
-    assert caches.news(origin=UseOrigin.OTHER_DOMAIN) == []
-    assert caches.news() == []
+    assert caches.take_pending(origin=UseOrigin.SAME_DOMAIN) == [(1, A)]
+    assert caches.take_pending(origin=UseOrigin.OTHER_DOMAIN) == []
+    assert caches.take_pending() == []
