--- a/dotterelpaddle/forwarding/caches.py
+++ b/dotterelpaddle/forwarding/caches.py
@@ -156,7 +156,7 @@
         """The next uses of an origin to tell the others; each is told a few times."""
         return self._news[origin].take()
 
-    def uses(self) -> list[Use]:
+    def all_uses(self) -> list[Use]:
         """All that is known, for a router that has just started."""
         return [
             (part, endpoint)
--- a/dotterelpaddle/peers/snapshot.py
+++ b/dotterelpaddle/peers/snapshot.py
@@ -85,7 +85,7 @@
 ) -> bytes:
     """Turn what another router lacks into a document for it."""
     endpoints = view.endpoints_since(revision=request.revision)
-    uses = caches.uses() if request.uses else []
+    uses = caches.all_uses() if request.uses else []
     told = ToldStarts(endpoints=(endpoint for _, endpoint in uses))
     document = orjson.dumps(
         {
--- a/dotterelpaddle/tests/forwarding/test_starts.py
+++ b/dotterelpaddle/tests/forwarding/test_starts.py
@@ -215,8 +215,8 @@
         assert loads.loads()[after.endpoint] == 0
     assert not health.is_replaced(endpoint=after.endpoint)
     assert health.usable(entries=[after]) == [after]
-    assert (7, after.endpoint) not in caches.uses()
-    assert (7, before.endpoint) in caches.uses()
+    assert (7, after.endpoint) not in caches.all_uses()
+    assert (7, before.endpoint) in caches.all_uses()
 
 
 def test_list_of_a_cache_names_the_start_that_answered() -> None:
--- a/dotterelpaddle/tests/peers/test_cache_lists.py
+++ b/dotterelpaddle/tests/peers/test_cache_lists.py
@@ -131,7 +131,7 @@
         tasks.start_soon(world.look, ALONE_AFTER)
         with anyio.fail_after(LIMIT):
             await world.caches._known.wait()
-        read = len(world.caches.uses())
+        read = len(world.caches.all_uses())
         tasks.cancel_scope.cancel()
 
     assert world.asked == {"engine-0", "engine-1", "engine-2"}
