--- a/dotterelpaddle/forwarding/cached_prompts.py
+++ b/dotterelpaddle/forwarding/cached_prompts.py
@@ -25,7 +25,7 @@
     """Where how much of one prompt is cached.
 
     Attributes:
-        missing: Shared tokens that an endpoint lacks.
+        missing_tokens: Shared tokens that an endpoint lacks.
         holder: The endpoint that lacks the least, None if none can be reached.
         least: The tokens that it lacks.
         own: Tokens of the prompt that no other one shares.
@@ -33,7 +33,7 @@
         domains: Failure domains of the candidates that lack no more than it.
     """
 
-    missing: Mapping[EndpointId, int]
+    missing_tokens: Mapping[EndpointId, int]
     holder: EndpointEntry | None
     least: int
     own: int
@@ -42,7 +42,7 @@
 
     def work(self, *, endpoint: EndpointId) -> PromptWork:
         """What an endpoint has to do for the prompt."""
-        lacks = self.missing[endpoint]
+        lacks = self.missing_tokens[endpoint]
         elsewhere = max(0, lacks - self.least)
         return PromptWork(
             missing_tokens=lacks, fetchable_tokens=elsewhere, unique_tokens=self.own
@@ -108,7 +108,7 @@
         holder = min(holders, key=lambda entry: missing[entry.endpoint], default=None)
         least = total if holder is None else missing[holder.endpoint]
         return CachedPrompt(
-            missing=missing,
+            missing_tokens=missing,
             holder=holder,
             least=least,
             own=request.prompt[-1].tokens,
--- a/dotterelpaddle/forwarding/placement.py
+++ b/dotterelpaddle/forwarding/placement.py
@@ -311,7 +311,7 @@
             return cost - home_tokens * (cached.unknown and entry is home)
 
         entry = min(within, key=_cost)
-        if cached.missing[entry.endpoint] > cached.least:
+        if cached.missing_tokens[entry.endpoint] > cached.least:
             bar = _cost(entry) + MAX_DOMAIN_SPREAD_TOKENS
             spreading = [
                 each
@@ -319,7 +319,7 @@
                 if each.failure_domain not in cached.domains and _cost(each) <= bar
             ]
             entry = min(spreading, key=_cost, default=entry)
-        lacks = cached.missing[entry.endpoint]
+        lacks = cached.missing_tokens[entry.endpoint]
         fetch = lacks - cached.least >= MIN_FETCH_TOKENS
         return Choice(
             entry=entry,
@@ -345,7 +345,7 @@
             if (
                 entry is home
                 if cached.unknown
-                else cached.missing[entry.endpoint] <= cached.least
+                else cached.missing_tokens[entry.endpoint] <= cached.least
             )
         ]
         others = self._generator.sample(entries, min(SAMPLE_SIZE, len(entries)))
