--- a/dotterelpaddle/forwarding/cached_prompts.py
+++ b/dotterelpaddle/forwarding/cached_prompts.py
@@ -27,7 +27,7 @@
     Attributes:
         missing_tokens: Shared tokens that an endpoint lacks.
         holder: The endpoint that lacks the least, None if none can be reached.
-        least: The tokens that it lacks.
+        min_missing_tokens: The tokens that it lacks.
         own: Tokens of the prompt that no other one shares.
         unknown: Whether nobody has any of the shared ones.
         domains: Failure domains of the candidates that lack no more than it.
@@ -35,7 +35,7 @@
 
     missing_tokens: Mapping[EndpointId, int]
     holder: EndpointEntry | None
-    least: int
+    min_missing_tokens: int
     own: int
     unknown: bool
     domains: frozenset[FailureDomain]
@@ -43,7 +43,7 @@
     def work(self, *, endpoint: EndpointId) -> PromptWork:
         """What an endpoint has to do for the prompt."""
         lacks = self.missing_tokens[endpoint]
-        elsewhere = max(0, lacks - self.least)
+        elsewhere = max(0, lacks - self.min_missing_tokens)
         return PromptWork(
             missing_tokens=lacks, fetchable_tokens=elsewhere, unique_tokens=self.own
         )
@@ -110,7 +110,7 @@
         return CachedPrompt(
             missing_tokens=missing,
             holder=holder,
-            least=least,
+            min_missing_tokens=least,
             own=request.prompt[-1].tokens,
             unknown=least == total,
             domains=frozenset(
--- a/dotterelpaddle/forwarding/placement.py
+++ b/dotterelpaddle/forwarding/placement.py
@@ -235,7 +235,7 @@
         if not candidates or not shared_parts(request=request):
             return None
         cached = self._cached.of(request=request, candidates=candidates)
-        if cached.least or cached.holder is None:
+        if cached.min_missing_tokens or cached.holder is None:
             return None
         return cached.holder.endpoint
 
@@ -311,7 +311,7 @@
             return cost - home_tokens * (cached.unknown and entry is home)
 
         entry = min(within, key=_cost)
-        if cached.missing_tokens[entry.endpoint] > cached.least:
+        if cached.missing_tokens[entry.endpoint] > cached.min_missing_tokens:
             bar = _cost(entry) + MAX_DOMAIN_SPREAD_TOKENS
             spreading = [
                 each
@@ -320,7 +320,7 @@
             ]
             entry = min(spreading, key=_cost, default=entry)
         lacks = cached.missing_tokens[entry.endpoint]
-        fetch = lacks - cached.least >= MIN_FETCH_TOKENS
+        fetch = lacks - cached.min_missing_tokens >= MIN_FETCH_TOKENS
         return Choice(
             entry=entry,
             reason=ChoiceReason.LEAST_COST if lacks else ChoiceReason.CACHED,
@@ -345,7 +345,7 @@
             if (
                 entry is home
                 if cached.unknown
-                else cached.missing_tokens[entry.endpoint] <= cached.least
+                else cached.missing_tokens[entry.endpoint] <= cached.min_missing_tokens
             )
         ]
         others = self._generator.sample(entries, min(SAMPLE_SIZE, len(entries)))
