--- a/dotterelpaddle/forwarding/cached_prompts.py
+++ b/dotterelpaddle/forwarding/cached_prompts.py
@@ -28,7 +28,7 @@
         missing_tokens: Shared tokens that an endpoint lacks.
         holder: The endpoint that lacks the least, None if none can be reached.
         min_missing_tokens: The tokens that it lacks.
-        own: Tokens of the prompt that no other one shares.
+        unique_tokens: Tokens of the prompt that no other one shares.
         unknown: Whether nobody has any of the shared ones.
         domains: Failure domains of the candidates that lack no more than it.
     """
@@ -36,7 +36,7 @@
     missing_tokens: Mapping[EndpointId, int]
     holder: EndpointEntry | None
     min_missing_tokens: int
-    own: int
+    unique_tokens: int
     unknown: bool
     domains: frozenset[FailureDomain]
 
@@ -45,7 +45,9 @@
         lacks = self.missing_tokens[endpoint]
         elsewhere = max(0, lacks - self.min_missing_tokens)
         return PromptWork(
-            missing_tokens=lacks, fetchable_tokens=elsewhere, unique_tokens=self.own
+            missing_tokens=lacks,
+            fetchable_tokens=elsewhere,
+            unique_tokens=self.unique_tokens,
         )
 
 
@@ -111,7 +113,7 @@
             missing_tokens=missing,
             holder=holder,
             min_missing_tokens=least,
-            own=request.prompt[-1].tokens,
+            unique_tokens=request.prompt[-1].tokens,
             unknown=least == total,
             domains=frozenset(
                 entry.failure_domain
