--- a/dotterelpaddle/forwarding/cached_prompts.py
+++ b/dotterelpaddle/forwarding/cached_prompts.py
@@ -29,7 +29,7 @@
         holder: The endpoint that lacks the least, None if none can be reached.
         min_missing_tokens: The tokens that it lacks.
         unique_tokens: Tokens of the prompt that no other one shares.
-        unknown: Whether nobody has any of the shared ones.
+        is_uncached: Whether nobody has any of the shared ones.
         domains: Failure domains of the candidates that lack no more than it.
     """
 
@@ -37,7 +37,7 @@
     holder: EndpointEntry | None
     min_missing_tokens: int
     unique_tokens: int
-    unknown: bool
+    is_uncached: bool
     domains: frozenset[FailureDomain]
 
     def work(self, *, endpoint: EndpointId) -> PromptWork:
@@ -114,7 +114,7 @@
             holder=holder,
             min_missing_tokens=least,
             unique_tokens=request.prompt[-1].tokens,
-            unknown=least == total,
+            is_uncached=least == total,
             domains=frozenset(
                 entry.failure_domain
                 for entry in candidates
--- a/dotterelpaddle/forwarding/placement.py
+++ b/dotterelpaddle/forwarding/placement.py
@@ -308,7 +308,7 @@
                 load=loads[entry.endpoint],
                 expected_failures=risk * self._share(entry),
             )
-            return cost - home_tokens * (cached.unknown and entry is home)
+            return cost - home_tokens * (cached.is_uncached and entry is home)
 
         entry = min(within, key=_cost)
         if cached.missing_tokens[entry.endpoint] > cached.min_missing_tokens:
@@ -344,7 +344,7 @@
             for entry in entries
             if (
                 entry is home
-                if cached.unknown
+                if cached.is_uncached
                 else cached.missing_tokens[entry.endpoint] <= cached.min_missing_tokens
             )
         ]
