--- a/dotterelpaddle/forwarding/cached_prompts.py
+++ b/dotterelpaddle/forwarding/cached_prompts.py
@@ -30,7 +30,7 @@
         min_missing_tokens: The tokens that it lacks.
         unique_tokens: Tokens of the prompt that no other one shares.
         is_uncached: Whether nobody has any of the shared ones.
-        domains: Failure domains of the candidates that lack no more than it.
+        holder_domains: Failure domains of the candidates that lack no more than it.
     """
 
     missing_tokens: Mapping[EndpointId, int]
@@ -38,7 +38,7 @@
     min_missing_tokens: int
     unique_tokens: int
     is_uncached: bool
-    domains: frozenset[FailureDomain]
+    holder_domains: frozenset[FailureDomain]
 
     def work(self, *, endpoint: EndpointId) -> PromptWork:
         """What an endpoint has to do for the prompt."""
@@ -115,7 +115,7 @@
             min_missing_tokens=least,
             unique_tokens=request.prompt[-1].tokens,
             is_uncached=least == total,
-            domains=frozenset(
+            holder_domains=frozenset(
                 entry.failure_domain
                 for entry in candidates
                 if missing[entry.endpoint] <= least
--- a/dotterelpaddle/forwarding/placement.py
+++ b/dotterelpaddle/forwarding/placement.py
@@ -316,7 +316,8 @@
             spreading = [
                 each
                 for each in within
-                if each.failure_domain not in cached.domains and _cost(each) <= bar
+                if each.failure_domain not in cached.holder_domains
+                and _cost(each) <= bar
             ]
             entry = min(spreading, key=_cost, default=entry)
         lacks = cached.missing_tokens[entry.endpoint]
