--- a/dotterelpaddle/forwarding/cached_prompts.py
+++ b/dotterelpaddle/forwarding/cached_prompts.py
@@ -40,7 +40,7 @@
     is_uncached: bool
     holder_domains: frozenset[FailureDomain]
 
-    def work(self, *, endpoint: EndpointId) -> PromptWork:
+    def work_at(self, *, endpoint: EndpointId) -> PromptWork:
         """What an endpoint has to do for the prompt."""
         lacks = self.missing_tokens[endpoint]
         elsewhere = max(0, lacks - self.min_missing_tokens)
--- a/dotterelpaddle/forwarding/placement.py
+++ b/dotterelpaddle/forwarding/placement.py
@@ -303,7 +303,7 @@
 
         def _cost(entry: EndpointEntry) -> float:
             cost = prompt_cost(
-                work=cached.work(endpoint=entry.endpoint),
+                work=cached.work_at(endpoint=entry.endpoint),
                 queued=reading[entry.endpoint],
                 load=loads[entry.endpoint],
                 expected_failures=risk * self._share(entry),
@@ -332,7 +332,9 @@
                 model=request.model, part=shared_parts(request=request)[-1]
             ),
             missing_tokens=lacks,
-            work_tokens=round(cached.work(endpoint=entry.endpoint).equivalent_tokens),
+            work_tokens=round(
+                cached.work_at(endpoint=entry.endpoint).equivalent_tokens
+            ),
             fetch_from=cached.holder if fetch else None,
         )
 
