--- a/dotterelpaddle/forwarding/cached_prompts.py
+++ b/dotterelpaddle/forwarding/cached_prompts.py
@@ -74,7 +74,7 @@
         self._reachability = reachability
         self._caches = caches
 
-    def of(
+    def look_up(
         self,
         *,
         request: HasPrompt,
--- a/dotterelpaddle/forwarding/placement.py
+++ b/dotterelpaddle/forwarding/placement.py
@@ -234,7 +234,7 @@
         candidates = self._view.ready(service=service)
         if not candidates or not shared_parts(request=request):
             return None
-        cached = self._cached.of(request=request, candidates=candidates)
+        cached = self._cached.look_up(request=request, candidates=candidates)
         if cached.min_missing_tokens or cached.holder is None:
             return None
         return cached.holder.endpoint
@@ -292,7 +292,7 @@
         if not within:
             return None
         home = home_of(request=request, candidates=candidates, sharded=many)
-        cached = self._cached.of(
+        cached = self._cached.look_up(
             request=request, candidates=candidates, cached_at=cached_at
         )
         if many:
