--- a/dotterelpaddle/forwarding/uses.py
+++ b/dotterelpaddle/forwarding/uses.py
@@ -9,7 +9,7 @@
 if TYPE_CHECKING:
     from dotterelpaddle.ids import EndpointId
 
-TIMES_TOLD = 3
+REPORTS_PER_USE = 3
 """Reports in which a use is told to other routers, because datagrams get lost."""
 
 MOST_USES_TOLD = 48
@@ -39,7 +39,7 @@
 
     def put(self, *, use: Use) -> None:
         """Let a use be told in the next reports."""
-        self._left[use] = TIMES_TOLD
+        self._left[use] = REPORTS_PER_USE
         self._left.move_to_end(use)
 
     def discard(self, *, use: Use) -> None:
--- a/dotterelpaddle/tests/forwarding/test_caches.py
+++ b/dotterelpaddle/tests/forwarding/test_caches.py
@@ -7,7 +7,7 @@
     CacheMap,
     UseOrigin,
 )
-from dotterelpaddle.forwarding.uses import MOST_USES_TOLD, TIMES_TOLD
+from dotterelpaddle.forwarding.uses import MOST_USES_TOLD, REPORTS_PER_USE
 from dotterelpaddle.ids import EndpointId
 from dotterelpaddle.tests.forwarding.entries import make_request
 
@@ -24,7 +24,7 @@
 
     told = [use for report in reports for use in report]
     assert max(len(report) for report in reports) == MOST_USES_TOLD
-    assert {told.count(use) for use in set(told)} == {TIMES_TOLD}
+    assert {told.count(use) for use in set(told)} == {REPORTS_PER_USE}
     assert len(set(told)) == MOST_USES_TOLD + 10
 
 
