--- a/dotterelpaddle/forwarding/uses.py
+++ b/dotterelpaddle/forwarding/uses.py
@@ -12,7 +12,7 @@
 REPORTS_PER_USE = 3
 """Reports in which a use is told to other routers, because datagrams get lost."""
 
-MOST_USES_TOLD = 48
+MAX_LOCAL_USES_PER_REPORT = 48
 """Uses of a router's own in one report, so that it stays in one packet or two."""
 
 MOST_USES_PASSED_ON = 160
@@ -33,7 +33,7 @@
         most: Uses that are told in one report.
     """
 
-    def __init__(self, *, most: int = MOST_USES_TOLD) -> None:
+    def __init__(self, *, most: int = MAX_LOCAL_USES_PER_REPORT) -> None:
         self._most = most
         self._left: OrderedDict[Use, int] = OrderedDict()
 
--- a/dotterelpaddle/tests/forwarding/test_caches.py
+++ b/dotterelpaddle/tests/forwarding/test_caches.py
@@ -7,7 +7,7 @@
     CacheMap,
     UseOrigin,
 )
-from dotterelpaddle.forwarding.uses import MOST_USES_TOLD, REPORTS_PER_USE
+from dotterelpaddle.forwarding.uses import MAX_LOCAL_USES_PER_REPORT, REPORTS_PER_USE
 from dotterelpaddle.ids import EndpointId
 from dotterelpaddle.tests.forwarding.entries import make_request
 
@@ -17,15 +17,15 @@
 
 def test_uses_are_told_a_few_times_and_a_few_at_a_time() -> None:
     caches = CacheMap(clock=lambda: 0.0)
-    for number in range(MOST_USES_TOLD + 10):
+    for number in range(MAX_LOCAL_USES_PER_REPORT + 10):
         caches.record_part(endpoint=A, part=number)
 
     reports = [caches.take_pending() for _ in range(20)]
 
     told = [use for report in reports for use in report]
-    assert max(len(report) for report in reports) == MOST_USES_TOLD
+    assert max(len(report) for report in reports) == MAX_LOCAL_USES_PER_REPORT
     assert {told.count(use) for use in set(told)} == {REPORTS_PER_USE}
-    assert len(set(told)) == MOST_USES_TOLD + 10
+    assert len(set(told)) == MAX_LOCAL_USES_PER_REPORT + 10
 
 
 def test_part_counts_only_with_all_parts_before_it() -> None:
