--- a/dotterelpaddle/forwarding/caches.py
+++ b/dotterelpaddle/forwarding/caches.py
@@ -14,7 +14,7 @@
 
 import anyio
 
-from dotterelpaddle.forwarding.uses import MOST_USES_PASSED_ON, UseQueue
+from dotterelpaddle.forwarding.uses import MAX_FORWARDED_USES_PER_REPORT, UseQueue
 from dotterelpaddle.placement.rendezvous import tag
 
 if TYPE_CHECKING:
@@ -60,8 +60,8 @@
         self._holders: OrderedDict[PartTag, dict[EndpointId, float]] = OrderedDict()
         self._news = {
             UseOrigin.LOCAL: UseQueue(),
-            UseOrigin.SAME_DOMAIN: UseQueue(most=MOST_USES_PASSED_ON),
-            UseOrigin.OTHER_DOMAIN: UseQueue(most=MOST_USES_PASSED_ON),
+            UseOrigin.SAME_DOMAIN: UseQueue(most=MAX_FORWARDED_USES_PER_REPORT),
+            UseOrigin.OTHER_DOMAIN: UseQueue(most=MAX_FORWARDED_USES_PER_REPORT),
         }
         self._told: dict[Use, float] = {}
         self._known = anyio.Event()
--- a/dotterelpaddle/forwarding/uses.py
+++ b/dotterelpaddle/forwarding/uses.py
@@ -15,7 +15,7 @@
 MAX_LOCAL_USES_PER_REPORT = 48
 """Uses of a router's own in one report, so that it stays in one packet or two."""
 
-MOST_USES_PASSED_ON = 160
+MAX_FORWARDED_USES_PER_REPORT = 160
 """Uses of other routers in one report, 4 KB: after a start twenty of them place some
 hundred prompts a second that nobody has read yet."""
 
