--- a/dotterelpaddle/forwarding/caches.py
+++ b/dotterelpaddle/forwarding/caches.py
@@ -22,7 +22,7 @@
 
     from dotterelpaddle.clock import Clock
     from dotterelpaddle.forwarding.interface import HasPrompt, PromptPart
-    from dotterelpaddle.forwarding.uses import PartTag, Use
+    from dotterelpaddle.forwarding.uses import PartTag, PartUse
     from dotterelpaddle.ids import EndpointId, ModelId
 
 PART_EXPIRY_SECONDS = 120.0
@@ -63,7 +63,7 @@
             UseOrigin.SAME_DOMAIN: UseQueue(most=MAX_FORWARDED_USES_PER_REPORT),
             UseOrigin.OTHER_DOMAIN: UseQueue(most=MAX_FORWARDED_USES_PER_REPORT),
         }
-        self._told: dict[Use, float] = {}
+        self._told: dict[PartUse, float] = {}
         self._known = anyio.Event()
 
     @property
@@ -141,7 +141,9 @@
         """Note that an endpoint has a part, and tell other routers."""
         self._take_in((part, endpoint), UseOrigin.LOCAL, self._clock())
 
-    def receive(self, *, uses: Iterable[Use], pass_on: UseOrigin | None = None) -> None:
+    def receive(
+        self, *, uses: Iterable[PartUse], pass_on: UseOrigin | None = None
+    ) -> None:
         """Take in where another router sent requests.
 
         Args:
@@ -152,11 +154,11 @@
         for use in uses:
             self._take_in(use, pass_on, now)
 
-    def take_pending(self, *, origin: UseOrigin = UseOrigin.LOCAL) -> list[Use]:
+    def take_pending(self, *, origin: UseOrigin = UseOrigin.LOCAL) -> list[PartUse]:
         """The next uses of an origin to tell the others; each is told a few times."""
         return self._news[origin].take()
 
-    def all_uses(self) -> list[Use]:
+    def all_uses(self) -> list[PartUse]:
         """All that is known, for a router that has just started."""
         return [
             (part, endpoint)
@@ -164,7 +166,7 @@
             for endpoint in holders
         ]
 
-    def _take_in(self, use: Use, origin: UseOrigin | None, now: float) -> None:
+    def _take_in(self, use: PartUse, origin: UseOrigin | None, now: float) -> None:
         """Note a use, and let others be told unless they have been of late."""
         part, endpoint = use
         is_new = endpoint not in self._holders.get(part, ())
--- a/dotterelpaddle/forwarding/uses.py
+++ b/dotterelpaddle/forwarding/uses.py
@@ -22,7 +22,7 @@
 PartTag = int
 """32 bits of a part's digest and its model's name."""
 
-Use = tuple[PartTag, "EndpointId"]
+PartUse = tuple[PartTag, "EndpointId"]
 """A part, and an endpoint that has read it."""
 
 
@@ -35,18 +35,18 @@
 
     def __init__(self, *, most: int = MAX_LOCAL_USES_PER_REPORT) -> None:
         self._most = most
-        self._left: OrderedDict[Use, int] = OrderedDict()
+        self._left: OrderedDict[PartUse, int] = OrderedDict()
 
-    def put(self, *, use: Use) -> None:
+    def put(self, *, use: PartUse) -> None:
         """Let a use be told in the next reports."""
         self._left[use] = REPORTS_PER_USE
         self._left.move_to_end(use)
 
-    def discard(self, *, use: Use) -> None:
+    def discard(self, *, use: PartUse) -> None:
         """Tell a use no more."""
         self._left.pop(use, None)
 
-    def take(self) -> list[Use]:
+    def take(self) -> list[PartUse]:
         """The uses for the next reports; each is told a few times."""
         told = list(islice(self._left, self._most))
         for use in told:
--- a/dotterelpaddle/peers/exchange.py
+++ b/dotterelpaddle/peers/exchange.py
@@ -32,7 +32,7 @@
     from dotterelpaddle.forwarding.loads import LoadTracker
     from dotterelpaddle.forwarding.repeats import SharedRepeats
     from dotterelpaddle.forwarding.shares import ShareBook
-    from dotterelpaddle.forwarding.uses import Use
+    from dotterelpaddle.forwarding.uses import PartUse
     from dotterelpaddle.forwarding.view import FleetView
     from dotterelpaddle.owners.asking import OwnerExchange
     from dotterelpaddle.peers.datagrams import Datagrams
@@ -168,7 +168,7 @@
         *,
         report: PeerReport,
         recipient: Recipient,
-        uses: Mapping[UseOrigin, list[Use]],
+        uses: Mapping[UseOrigin, list[PartUse]],
     ) -> PeerReport:
         """Fill in what differs from recipient to recipient."""
         return replace(
--- a/dotterelpaddle/peers/snapshot.py
+++ b/dotterelpaddle/peers/snapshot.py
@@ -23,7 +23,7 @@
     from dotterelpaddle.forwarding.interface import DocumentDecoder
     from dotterelpaddle.forwarding.model import FleetConfiguration
     from dotterelpaddle.forwarding.unusable import UnusableEntries
-    from dotterelpaddle.forwarding.uses import Use
+    from dotterelpaddle.forwarding.uses import PartUse
     from dotterelpaddle.forwarding.view import FleetView
 
 
@@ -45,7 +45,7 @@
     """
 
     endpoints: EndpointsUpdate | None
-    uses: tuple[Use, ...]
+    uses: tuple[PartUse, ...]
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
