--- a/dotterelpaddle/forwarding/telling.py
+++ b/dotterelpaddle/forwarding/telling.py
@@ -4,7 +4,7 @@
 
 from dataclasses import dataclass
 
-TIMES_TOLD = 3
+REPORTS_PER_UPDATE = 3
 """Reports in which news is told, because datagrams get lost."""
 
 
@@ -17,7 +17,7 @@
         told_at: When it was told last, seconds on the monotonic clock.
     """
 
-    left: int = TIMES_TOLD
+    left: int = REPORTS_PER_UPDATE
     told_at: float = float("-inf")
 
     def is_due(self, *, now: float, pause: float) -> bool:
--- a/dotterelpaddle/tests/forwarding/test_crashes.py
+++ b/dotterelpaddle/tests/forwarding/test_crashes.py
@@ -20,7 +20,7 @@
     TRY_TIME,
     CrashBook,
 )
-from dotterelpaddle.forwarding.telling import TIMES_TOLD
+from dotterelpaddle.forwarding.telling import REPORTS_PER_UPDATE
 from dotterelpaddle.ids import EndpointId, Fingerprint
 
 CULPRIT, OTHER = Fingerprint("culprit"), Fingerprint("other")
@@ -86,7 +86,7 @@
 def test_same_end_counts_once_however_often_it_is_told(router: Router) -> None:
     other = Router()
     other.end("a", "b")
-    for _ in range(TIMES_TOLD):
+    for _ in range(REPORTS_PER_UPDATE):
         other.tell(router)
     router.end("a")
 
@@ -257,7 +257,7 @@
 def test_router_that_hears_late_is_told_again(router: Router) -> None:
     """Guards against two sides of a cut that never agree after it."""
     router.end("a", "b", "c")
-    for _ in range(TIMES_TOLD):
+    for _ in range(REPORTS_PER_UPDATE):
         router.tell()
     assert router.tell() == 0
     late = Router()
@@ -313,7 +313,7 @@
     def teardown(self) -> None:
         for _ in range(3):
             self._pass(seconds=RARE_RETELL_TIME)
-            for _ in range(TIMES_TOLD + 1):
+            for _ in range(REPORTS_PER_UPDATE + 1):
                 for sender in range(3):
                     self._tell(sender=sender, lost=set())
         blocked = {
@@ -348,7 +348,7 @@
         one.tell(two)
     one.now = two.now = 100.0 + RETELL_TIME
     for sender, receiver in ((one, two), (two, one)):
-        for _ in range(TIMES_TOLD + 1):
+        for _ in range(REPORTS_PER_UPDATE + 1):
             sender.tell(receiver)
 
     assert not one.passes()
--- a/dotterelpaddle/tests/forwarding/test_leaving.py
+++ b/dotterelpaddle/tests/forwarding/test_leaving.py
@@ -18,7 +18,7 @@
 from dotterelpaddle.forwarding.model import EndpointEntry, EndpointState, endpoint_id
 from dotterelpaddle.forwarding.notices import EndpointNotices
 from dotterelpaddle.forwarding.quiet import MAX_BACKOFF_SECONDS, EndpointBackoffs
-from dotterelpaddle.forwarding.telling import TIMES_TOLD
+from dotterelpaddle.forwarding.telling import REPORTS_PER_UPDATE
 from dotterelpaddle.forwarding.view import FleetView
 from dotterelpaddle.ids import (
     EndpointId,
@@ -173,8 +173,10 @@
 def test_others_are_told_a_few_times_and_again_later(world: World) -> None:
     """Guards against routers behind a cut that never hear of it."""
     world.answer("a", leaving=True)
-    told = [len(world.leaving.take_due_notices()) for _ in range(TIMES_TOLD + 1)]
-    assert told == [1] * TIMES_TOLD + [0]
+    told = [
+        len(world.leaving.take_due_notices()) for _ in range(REPORTS_PER_UPDATE + 1)
+    ]
+    assert told == [1] * REPORTS_PER_UPDATE + [0]
     world.now += RESEND_INTERVAL_SECONDS
 
     assert world.leaving.take_due_notices() == (
@@ -187,7 +189,7 @@
     for name in names:
         world.answer(name, leaving=True)
     told = set()
-    for _ in range(3 * TIMES_TOLD):
+    for _ in range(3 * REPORTS_PER_UPDATE):
         news = world.leaving.take_due_notices()
         assert len(news) <= MAX_NOTICES_PER_REPORT
         told |= {note.endpoint for note in news}
