--- a/dotterelpaddle/forwarding/crashes.py
+++ b/dotterelpaddle/forwarding/crashes.py
@@ -14,7 +14,7 @@
 
 from dotterelpaddle.exceptions import RequestBlocked
 from dotterelpaddle.forwarding.blame import Suspicion, find_causes
-from dotterelpaddle.forwarding.telling import Telling
+from dotterelpaddle.forwarding.telling import ReportState
 from dotterelpaddle.logs import get_logger
 
 if TYPE_CHECKING:
@@ -93,7 +93,7 @@
 
     at: float
     begun: bool = False
-    telling: Telling = field(default_factory=Telling)
+    telling: ReportState = field(default_factory=ReportState)
 
 
 @dataclass(kw_only=True, slots=True)
@@ -205,7 +205,7 @@
         """
         now = self._clock()
         for note in notes:
-            telling = Telling() if pass_on else Telling(left=0, told_at=now)
+            telling = ReportState() if pass_on else ReportState(left=0, told_at=now)
             seen = _Seen(at=now - note.age, begun=note.begun, telling=telling)
             match note.kind:
                 case NoteKind.ENDED if note.endpoint:
--- a/dotterelpaddle/forwarding/leaving.py
+++ b/dotterelpaddle/forwarding/leaving.py
@@ -10,7 +10,7 @@
 from dataclasses import dataclass, field
 from typing import TYPE_CHECKING
 
-from dotterelpaddle.forwarding.telling import Telling
+from dotterelpaddle.forwarding.telling import ReportState
 from dotterelpaddle.logs import get_logger
 
 if TYPE_CHECKING:
@@ -52,7 +52,7 @@
 @dataclass(kw_only=True, slots=True)
 class _Heard:
     at: float
-    telling: Telling = field(default_factory=Telling)
+    telling: ReportState = field(default_factory=ReportState)
 
 
 class LeavingEndpoints:
--- a/dotterelpaddle/forwarding/telling.py
+++ b/dotterelpaddle/forwarding/telling.py
@@ -9,7 +9,7 @@
 
 
 @dataclass(kw_only=True, slots=True)
-class Telling:
+class ReportState:
     """How often something was told, and when last.
 
     Attributes:
