--- a/dotterelpaddle/forwarding/crashes.py
+++ b/dotterelpaddle/forwarding/crashes.py
@@ -205,7 +205,9 @@
         """
         now = self._clock()
         for note in notes:
-            telling = ReportState() if pass_on else ReportState(left=0, told_at=now)
+            telling = (
+                ReportState() if pass_on else ReportState(reports_left=0, told_at=now)
+            )
             seen = _Seen(at=now - note.age, begun=note.begun, telling=telling)
             match note.kind:
                 case NoteKind.ENDED if note.endpoint:
@@ -222,7 +224,9 @@
         now = self._clock()
         self._forget(now=now)
         due = [each for each in self._all_seen() if _is_due(each, now=now)]
-        due.sort(key=lambda each: (each.ends, each.seen.telling.left), reverse=True)
+        due.sort(
+            key=lambda each: (each.ends, each.seen.telling.reports_left), reverse=True
+        )
         told = due[:MOST_TOLD]
         for each in told:
             each.seen.telling.note_told(now=now)
--- a/dotterelpaddle/forwarding/telling.py
+++ b/dotterelpaddle/forwarding/telling.py
@@ -13,22 +13,22 @@
     """How often something was told, and when last.
 
     Attributes:
-        left: Times that it is still to be told as news.
+        reports_left: Times that it is still to be told as news.
         told_at: When it was told last, seconds on the monotonic clock.
     """
 
-    left: int = REPORTS_PER_UPDATE
+    reports_left: int = REPORTS_PER_UPDATE
     told_at: float = float("-inf")
 
     def is_due(self, *, now: float, pause: float) -> bool:
         """Tell whether it is news, or was told some seconds ago or more."""
-        return self.left > 0 or now - self.told_at >= pause
+        return self.reports_left > 0 or now - self.told_at >= pause
 
     def note_told(self, *, now: float) -> None:
         """Note that it is told now."""
-        self.left = max(0, self.left - 1)
+        self.reports_left = max(0, self.reports_left - 1)
         self.told_at = now
 
     def tell_again(self) -> None:
         """Let it be told once more at least."""
-        self.left = max(self.left, 1)
+        self.reports_left = max(self.reports_left, 1)
