--- a/dotterelpaddle/forwarding/crashes.py
+++ b/dotterelpaddle/forwarding/crashes.py
@@ -206,7 +206,9 @@
         now = self._clock()
         for note in notes:
             telling = (
-                ReportState() if pass_on else ReportState(reports_left=0, told_at=now)
+                ReportState()
+                if pass_on
+                else ReportState(reports_left=0, reported_at=now)
             )
             seen = _Seen(at=now - note.age, begun=note.begun, telling=telling)
             match note.kind:
--- a/dotterelpaddle/forwarding/telling.py
+++ b/dotterelpaddle/forwarding/telling.py
@@ -14,20 +14,20 @@
 
     Attributes:
         reports_left: Times that it is still to be told as news.
-        told_at: When it was told last, seconds on the monotonic clock.
+        reported_at: When it was told last, seconds on the monotonic clock.
     """
 
     reports_left: int = REPORTS_PER_UPDATE
-    told_at: float = float("-inf")
+    reported_at: float = float("-inf")
 
     def is_due(self, *, now: float, pause: float) -> bool:
         """Tell whether it is news, or was told some seconds ago or more."""
-        return self.reports_left > 0 or now - self.told_at >= pause
+        return self.reports_left > 0 or now - self.reported_at >= pause
 
     def note_told(self, *, now: float) -> None:
         """Note that it is told now."""
         self.reports_left = max(0, self.reports_left - 1)
-        self.told_at = now
+        self.reported_at = now
 
     def tell_again(self) -> None:
         """Let it be told once more at least."""
