--- a/dotterelpaddle/forwarding/crashes.py
+++ b/dotterelpaddle/forwarding/crashes.py
@@ -231,7 +231,7 @@
         )
         told = due[:MOST_TOLD]
         for each in told:
-            each.seen.telling.note_told(now=now)
+            each.seen.telling.mark_reported(now=now)
         return [each.note(now=now) for each in told]
 
     def _take_in_end(
--- a/dotterelpaddle/forwarding/leaving.py
+++ b/dotterelpaddle/forwarding/leaving.py
@@ -113,7 +113,7 @@
         ]
         due.sort(key=lambda item: item[1].at, reverse=True)
         for _, heard in due[:MAX_NOTICES_PER_REPORT]:
-            heard.telling.note_told(now=now)
+            heard.telling.mark_reported(now=now)
         return tuple(
             LeavingNotice(endpoint=endpoint, age=now - heard.at)
             for endpoint, heard in due[:MAX_NOTICES_PER_REPORT]
--- a/dotterelpaddle/forwarding/telling.py
+++ b/dotterelpaddle/forwarding/telling.py
@@ -24,7 +24,7 @@
         """Tell whether it is news, or was told some seconds ago or more."""
         return self.reports_left > 0 or now - self.reported_at >= pause
 
-    def note_told(self, *, now: float) -> None:
+    def mark_reported(self, *, now: float) -> None:
         """Note that it is told now."""
         self.reports_left = max(0, self.reports_left - 1)
         self.reported_at = now
