--- a/dotterelpaddle/forwarding/crashes.py
+++ b/dotterelpaddle/forwarding/crashes.py
@@ -240,7 +240,7 @@
         suspect = self._suspects.setdefault(fingerprint, _Suspect())
         if suspect.served is not None and suspect.served.at >= seen.at:
             # Whoever still tells of it has not heard of the answer.
-            suspect.served.telling.tell_again()
+            suspect.served.telling.report_again()
             return
         if endpoint in suspect.ended:
             return
--- a/dotterelpaddle/forwarding/telling.py
+++ b/dotterelpaddle/forwarding/telling.py
@@ -29,6 +29,6 @@
         self.reports_left = max(0, self.reports_left - 1)
         self.reported_at = now
 
-    def tell_again(self) -> None:
+    def report_again(self) -> None:
         """Let it be told once more at least."""
         self.reports_left = max(self.reports_left, 1)
