--- a/dotterelpaddle/forwarding/shares.py
+++ b/dotterelpaddle/forwarding/shares.py
@@ -19,7 +19,7 @@
     from dotterelpaddle.clock import Clock
     from dotterelpaddle.ids import EndpointId, FailureDomain, RouterId, ServiceName
 
-FRESH_TIME = 1.5
+MAX_TOTALS_AGE_SECONDS = 1.5
 """Seconds that counts of requests in flight are believed without news.
 
 Routers tell them a few times a second; a router silent for longer has ended or
@@ -130,7 +130,7 @@
     @property
     def asking(self) -> frozenset[RouterId]:
         """Routers that ask this one to aggregate for them."""
-        oldest = self._clock() - FRESH_TIME
+        oldest = self._clock() - MAX_TOTALS_AGE_SECONDS
         return frozenset(
             router for router, asked_at in self._asked.items() if asked_at >= oldest
         )
@@ -166,7 +166,7 @@
             case Ask.NOTHING:
                 self._asked.pop(router, None)
 
-    def in_force(self, *, max_age: float = FRESH_TIME) -> tuple[Share, ...]:
+    def in_force(self, *, max_age: float = MAX_TOTALS_AGE_SECONDS) -> tuple[Share, ...]:
         """Shares that together count each other router once, as far as known."""
         others = self._others
         if others is not None and not self._aggregates and self._is_fresh(others):
@@ -180,14 +180,16 @@
 
     def all_but(self, *, own: Share, router: RouterId) -> Share:
         """Sum up for a router of the own failure domain all that others told."""
-        near = self._near(max_age=FRESH_TIME)
+        near = self._near(max_age=MAX_TOTALS_AGE_SECONDS)
         near.pop(router, None)
         shares = [own, *(told.share for told in near.values())]
-        shares += self._far(max_age=FRESH_TIME)
+        shares += self._far(max_age=MAX_TOTALS_AGE_SECONDS)
         return total(scope=Scope.OTHERS, shares=shares)
 
     def _near_shares(self) -> list[Share]:
-        return [told.share for told in self._near(max_age=FRESH_TIME).values()]
+        return [
+            told.share for told in self._near(max_age=MAX_TOTALS_AGE_SECONDS).values()
+        ]
 
     def _near(self, *, max_age: float) -> dict[RouterId, _Told]:
         """What routers of the own failure domain told of themselves."""
@@ -214,7 +216,9 @@
         ]
         return [*aggregated.values(), *single]
 
-    def _is_fresh(self, told: _Told, *, max_age: float = FRESH_TIME) -> bool:
+    def _is_fresh(
+        self, told: _Told, *, max_age: float = MAX_TOTALS_AGE_SECONDS
+    ) -> bool:
         return self._clock() - told.at <= max_age
 
 
--- a/dotterelpaddle/tests/forwarding/test_placement.py
+++ b/dotterelpaddle/tests/forwarding/test_placement.py
@@ -28,7 +28,7 @@
 from dotterelpaddle.forwarding.placement import ForwardPlacer
 from dotterelpaddle.forwarding.quiet import EndpointBackoffs
 from dotterelpaddle.forwarding.reachability import Reachability
-from dotterelpaddle.forwarding.shares import FRESH_TIME, Share, ShareBook
+from dotterelpaddle.forwarding.shares import MAX_TOTALS_AGE_SECONDS, Share, ShareBook
 from dotterelpaddle.forwarding.view import FleetView
 from dotterelpaddle.ids import (
     EndpointId,
@@ -359,6 +359,6 @@
 def test_word_of_a_silent_router_is_forgotten() -> None:
     world = World()
     world.load(a=50)
-    world.now = FRESH_TIME + 0.1
+    world.now = MAX_TOTALS_AGE_SECONDS + 0.1
 
     assert world.choose().load == 0
