--- a/dotterelpaddle/forwarding/shares.py
+++ b/dotterelpaddle/forwarding/shares.py
@@ -27,7 +27,7 @@
 """
 
 
-class Scope(Enum):
+class TotalsScope(Enum):
     """Whose requests a share counts."""
 
     ROUTER = "router"
@@ -69,7 +69,7 @@
         repeats: What they sent of late, by service.
     """
 
-    scope: Scope = Scope.ROUTER
+    scope: TotalsScope = TotalsScope.ROUTER
     routers: int = 1
     loads: Mapping[EndpointId, int] = field(default_factory=dict)
     reading: Mapping[EndpointId, int] = field(default_factory=dict)
@@ -154,11 +154,11 @@
         now = self._clock()
         told = _Told(share=share, domain=failure_domain, at=now)
         match share.scope:
-            case Scope.ROUTER:
+            case TotalsScope.ROUTER:
                 self._routers[router] = told
-            case Scope.DOMAIN:
+            case TotalsScope.DOMAIN:
                 self._domains[failure_domain] = told
-            case Scope.OTHERS:
+            case TotalsScope.OTHERS:
                 self._others = told
         match ask:
             case Ask.AGGREGATE:
@@ -176,7 +176,7 @@
 
     def own_domain(self, *, own: Share) -> Share:
         """Sum up the own failure domain for other ones."""
-        return total(scope=Scope.DOMAIN, shares=[own, *self._near_shares()])
+        return total(scope=TotalsScope.DOMAIN, shares=[own, *self._near_shares()])
 
     def all_but(self, *, own: Share, router: RouterId) -> Share:
         """Sum up for a router of the own failure domain all that others told."""
@@ -184,7 +184,7 @@
         near.pop(router, None)
         shares = [own, *(told.share for told in near.values())]
         shares += self._far(max_age=MAX_TOTALS_AGE_SECONDS)
-        return total(scope=Scope.OTHERS, shares=shares)
+        return total(scope=TotalsScope.OTHERS, shares=shares)
 
     def _near_shares(self) -> list[Share]:
         return [
@@ -222,7 +222,7 @@
         return self._clock() - told.at <= max_age
 
 
-def total(*, scope: Scope, shares: Iterable[Share]) -> Share:
+def total(*, scope: TotalsScope, shares: Iterable[Share]) -> Share:
     """Add shares up."""
     routers = 0
     loads: Counter[EndpointId] = Counter()
--- a/dotterelpaddle/peers/directory.py
+++ b/dotterelpaddle/peers/directory.py
@@ -6,7 +6,7 @@
 from functools import lru_cache
 from typing import TYPE_CHECKING
 
-from dotterelpaddle.forwarding.shares import Scope
+from dotterelpaddle.forwarding.shares import TotalsScope
 from dotterelpaddle.logs import get_logger
 from dotterelpaddle.peers.messages import PeerName
 from dotterelpaddle.placement.rendezvous import digest
@@ -167,7 +167,7 @@
         heard: set[FailureDomain] = set()
         for peer in self.just_heard():
             heard.add(peer.report.failure_domain)
-            if peer.report.share.scope is Scope.OTHERS:
+            if peer.report.share.scope is TotalsScope.OTHERS:
                 heard.update(peer.report.domains)
         return {
             name.failure_domain: name.failure_domain in heard for name in self._all()
--- a/dotterelpaddle/peers/exchange.py
+++ b/dotterelpaddle/peers/exchange.py
@@ -10,7 +10,7 @@
 
 from dotterelpaddle.exceptions import ControlError
 from dotterelpaddle.forwarding.caches import UseOrigin
-from dotterelpaddle.forwarding.shares import Ask, Scope, Share
+from dotterelpaddle.forwarding.shares import Ask, Share, TotalsScope
 from dotterelpaddle.ids import Revision
 from dotterelpaddle.logs import get_logger
 from dotterelpaddle.owners.messages import START
@@ -55,9 +55,13 @@
 """Routers with the best ranks that are named each time; the others take turns."""
 
 TOLD_BY_SCOPE = {
-    Scope.ROUTER: (UseOrigin.LOCAL,),
-    Scope.DOMAIN: (UseOrigin.LOCAL, UseOrigin.SAME_DOMAIN),
-    Scope.OTHERS: (UseOrigin.LOCAL, UseOrigin.SAME_DOMAIN, UseOrigin.OTHER_DOMAIN),
+    TotalsScope.ROUTER: (UseOrigin.LOCAL,),
+    TotalsScope.DOMAIN: (UseOrigin.LOCAL, UseOrigin.SAME_DOMAIN),
+    TotalsScope.OTHERS: (
+        UseOrigin.LOCAL,
+        UseOrigin.SAME_DOMAIN,
+        UseOrigin.OTHER_DOMAIN,
+    ),
 }
 """Whose uses of parts go with a report: those that its recipient hears of nowhere
 else."""
@@ -151,7 +155,7 @@
         uses = {
             origin: self._caches.take_pending(origin=origin) for origin in UseOrigin
         }
-        written: dict[tuple[Scope, Ask], bytes] = {}
+        written: dict[tuple[TotalsScope, Ask], bytes] = {}
         for recipient in recipients:
             # Only an aggregate for one router differs from recipient to recipient.
             kind = (recipient.scope, recipient.ask)
@@ -159,7 +163,7 @@
             if content is None:
                 report = self._addressed(report=base, recipient=recipient, uses=uses)
                 content = encode_report(report=report)
-            if recipient.scope is not Scope.OTHERS:
+            if recipient.scope is not TotalsScope.OTHERS:
                 written[kind] = content
             await datagrams.send(content, recipient.address)
 
@@ -217,9 +221,9 @@
 
     def _share(self, *, own: Share, recipient: Recipient) -> Share:
         match recipient.scope:
-            case Scope.DOMAIN:
+            case TotalsScope.DOMAIN:
                 return self._shares.own_domain(own=own)
-            case Scope.OTHERS if recipient.router is not None:
+            case TotalsScope.OTHERS if recipient.router is not None:
                 return self._shares.all_but(own=own, router=recipient.router)
         return own
 
@@ -227,10 +231,10 @@
         """Who owns the shards of the own failure domain, or of all."""
         owners = self._directory.owners()
         match recipient.scope:
-            case Scope.DOMAIN:
+            case TotalsScope.DOMAIN:
                 own = owners.get(self._own.failure_domain)
                 return () if own is None else (own,)
-            case Scope.OTHERS:
+            case TotalsScope.OTHERS:
                 return tuple(owners.values())
         return ()
 
@@ -305,6 +309,6 @@
         """Tell for whom a report's uses are news that this router passes on."""
         if report.ask is Ask.AGGREGATE:
             return UseOrigin.SAME_DOMAIN
-        if report.share.scope is Scope.DOMAIN:
+        if report.share.scope is TotalsScope.DOMAIN:
             return UseOrigin.OTHER_DOMAIN
         return None
--- a/dotterelpaddle/peers/messages.py
+++ b/dotterelpaddle/peers/messages.py
@@ -12,7 +12,7 @@
 from dotterelpaddle.exceptions import ControlError
 from dotterelpaddle.forwarding.evacuations import EvacuationSnapshot
 from dotterelpaddle.forwarding.leaving import LeavingNotice
-from dotterelpaddle.forwarding.shares import Ask, RepeatCounts, Scope, Share
+from dotterelpaddle.forwarding.shares import Ask, RepeatCounts, Share, TotalsScope
 from dotterelpaddle.ids import (
     EndpointId,
     EndpointName,
@@ -294,7 +294,7 @@
 ) -> Share:
     scope, routers, loads, repeats = fields
     return Share(
-        scope=Scope(scope),
+        scope=TotalsScope(scope),
         routers=int(routers),
         loads={endpoints[name]: int(load) for name, load in loads.items()},
         reading={endpoints[name]: int(tokens) for name, tokens in reading.items()},
--- a/dotterelpaddle/peers/plan.py
+++ b/dotterelpaddle/peers/plan.py
@@ -11,7 +11,7 @@
 from dataclasses import dataclass
 from typing import TYPE_CHECKING
 
-from dotterelpaddle.forwarding.shares import Ask, Scope
+from dotterelpaddle.forwarding.shares import Ask, TotalsScope
 
 if TYPE_CHECKING:
     from dotterelpaddle.address import Address
@@ -36,7 +36,7 @@
     """
 
     address: Address
-    scope: Scope = Scope.ROUTER
+    scope: TotalsScope = TotalsScope.ROUTER
     router: RouterId | None = None
     ask: Ask = Ask.NOTHING
 
@@ -95,7 +95,7 @@
             routers=frozenset(
                 each.router
                 for each in recipients
-                if each.router is not None and each.scope is not Scope.OTHERS
+                if each.router is not None and each.scope is not TotalsScope.OTHERS
             )
         )
         return recipients + _asking_for_answers(directory.silent_targets())
@@ -105,7 +105,9 @@
         asking = self._shares.asking - without
         return [
             Recipient(
-                address=peer.address, router=peer.report.router, scope=Scope.OTHERS
+                address=peer.address,
+                router=peer.report.router,
+                scope=TotalsScope.OTHERS,
             )
             for peer in self._directory.alive
             if peer.report.router in asking
@@ -116,7 +118,9 @@
         directory = self._directory
         domains = directory.heard_domains().keys() - {directory.own.failure_domain}
         return [
-            Recipient(address=name.address, router=name.router, scope=Scope.DOMAIN)
+            Recipient(
+                address=name.address, router=name.router, scope=TotalsScope.DOMAIN
+            )
             for domain in sorted(domains)
             for name in directory.aggregators(failure_domain=domain)
         ]
--- a/dotterelpaddle/tests/forwarding/test_repeats.py
+++ b/dotterelpaddle/tests/forwarding/test_repeats.py
@@ -11,7 +11,7 @@
     RepeatLimits,
     SharedRepeats,
 )
-from dotterelpaddle.forwarding.shares import Scope, Share, ShareBook
+from dotterelpaddle.forwarding.shares import Share, ShareBook, TotalsScope
 from dotterelpaddle.ids import FailureDomain, RouterId, ServiceName
 
 SERVICE = ServiceName("records")
@@ -67,7 +67,7 @@
     )
 
     def hear(routers: int) -> None:
-        share = Share(scope=Scope.OTHERS, routers=routers)
+        share = Share(scope=TotalsScope.OTHERS, routers=routers)
         shares.hear(router=RouterId("aggregator"), failure_domain=HERE, share=share)
         repeats.counts()
 
--- a/dotterelpaddle/tests/peers/test_messages.py
+++ b/dotterelpaddle/tests/peers/test_messages.py
@@ -11,7 +11,7 @@
 from dotterelpaddle.forwarding.crashes import CrashNote, NoteKind
 from dotterelpaddle.forwarding.evacuations import EvacuationSnapshot
 from dotterelpaddle.forwarding.leaving import LeavingNotice
-from dotterelpaddle.forwarding.shares import Ask, RepeatCounts, Scope, Share
+from dotterelpaddle.forwarding.shares import Ask, RepeatCounts, Share, TotalsScope
 from dotterelpaddle.ids import (
     EndpointId,
     FailureDomain,
@@ -66,7 +66,7 @@
             "endpoints_age": float("inf"),
             "endpoints_tag": 77,
             "share": Share(
-                scope=Scope.OTHERS,
+                scope=TotalsScope.OTHERS,
                 routers=3,
                 loads={EndpointId("a"): 2},
                 repeats={ServiceName("s"): RepeatCounts(requests=4, repeats=1)},
