--- a/dotterelpaddle/forwarding/shares.py
+++ b/dotterelpaddle/forwarding/shares.py
@@ -35,7 +35,7 @@
     OTHERS = "others"
 
 
-class Ask(Enum):
+class ReplyRequest(Enum):
     """What a report asks of its recipient."""
 
     NOTHING = "nothing"
@@ -141,7 +141,7 @@
         router: RouterId,
         failure_domain: FailureDomain,
         share: Share,
-        ask: Ask = Ask.NOTHING,
+        ask: ReplyRequest = ReplyRequest.NOTHING,
     ) -> None:
         """Take in what a router told.
 
@@ -161,9 +161,9 @@
             case TotalsScope.OTHERS:
                 self._others = told
         match ask:
-            case Ask.AGGREGATE:
+            case ReplyRequest.AGGREGATE:
                 self._asked[router] = now
-            case Ask.NOTHING:
+            case ReplyRequest.NOTHING:
                 self._asked.pop(router, None)
 
     def in_force(self, *, max_age: float = MAX_TOTALS_AGE_SECONDS) -> tuple[Share, ...]:
--- a/dotterelpaddle/peers/exchange.py
+++ b/dotterelpaddle/peers/exchange.py
@@ -10,7 +10,7 @@
 
 from dotterelpaddle.exceptions import ControlError
 from dotterelpaddle.forwarding.caches import UseOrigin
-from dotterelpaddle.forwarding.shares import Ask, Share, TotalsScope
+from dotterelpaddle.forwarding.shares import ReplyRequest, Share, TotalsScope
 from dotterelpaddle.ids import Revision
 from dotterelpaddle.logs import get_logger
 from dotterelpaddle.owners.messages import START
@@ -155,7 +155,7 @@
         uses = {
             origin: self._caches.take_pending(origin=origin) for origin in UseOrigin
         }
-        written: dict[tuple[TotalsScope, Ask], bytes] = {}
+        written: dict[tuple[TotalsScope, ReplyRequest], bytes] = {}
         for recipient in recipients:
             # Only an aggregate for one router differs from recipient to recipient.
             kind = (recipient.scope, recipient.ask)
@@ -303,11 +303,11 @@
         self._view.leaving.receive(notes=report.leaving_endpoints)
         if report.evacuated is not None:
             self._view.evacuations.apply_snapshot(told=report.evacuated)
-        return not known or report.ask is Ask.ANSWER
+        return not known or report.ask is ReplyRequest.ANSWER
 
     def _origin(self, *, report: PeerReport) -> UseOrigin | None:
         """Tell for whom a report's uses are news that this router passes on."""
-        if report.ask is Ask.AGGREGATE:
+        if report.ask is ReplyRequest.AGGREGATE:
             return UseOrigin.SAME_DOMAIN
         if report.share.scope is TotalsScope.DOMAIN:
             return UseOrigin.OTHER_DOMAIN
--- a/dotterelpaddle/peers/messages.py
+++ b/dotterelpaddle/peers/messages.py
@@ -12,7 +12,12 @@
 from dotterelpaddle.exceptions import ControlError
 from dotterelpaddle.forwarding.evacuations import EvacuationSnapshot
 from dotterelpaddle.forwarding.leaving import LeavingNotice
-from dotterelpaddle.forwarding.shares import Ask, RepeatCounts, Share, TotalsScope
+from dotterelpaddle.forwarding.shares import (
+    RepeatCounts,
+    ReplyRequest,
+    Share,
+    TotalsScope,
+)
 from dotterelpaddle.ids import (
     EndpointId,
     EndpointName,
@@ -128,7 +133,7 @@
     endpoints_age: float
     endpoints_tag: int
     share: Share
-    ask: Ask = Ask.NOTHING
+    ask: ReplyRequest = ReplyRequest.NOTHING
     routers: int = 1
     domains: tuple[FailureDomain, ...] = ()
     uses: tuple[Use, ...] = ()
@@ -253,7 +258,7 @@
                 reading,
                 endpoints if starts else _known(endpoints, start_of),
             ),
-            ask=Ask(fields[13]),
+            ask=ReplyRequest(fields[13]),
             routers=int(fields[14]),
             domains=tuple(FailureDomain(str(domain)) for domain in fields[15]),
             uses=tuple((int(part), endpoints[name]) for part, name in uses),
--- a/dotterelpaddle/peers/plan.py
+++ b/dotterelpaddle/peers/plan.py
@@ -11,7 +11,7 @@
 from dataclasses import dataclass
 from typing import TYPE_CHECKING
 
-from dotterelpaddle.forwarding.shares import Ask, TotalsScope
+from dotterelpaddle.forwarding.shares import ReplyRequest, TotalsScope
 
 if TYPE_CHECKING:
     from dotterelpaddle.address import Address
@@ -38,7 +38,7 @@
     address: Address
     scope: TotalsScope = TotalsScope.ROUTER
     router: RouterId | None = None
-    ask: Ask = Ask.NOTHING
+    ask: ReplyRequest = ReplyRequest.NOTHING
 
 
 class ReportPlan:
@@ -82,7 +82,9 @@
         self._shares.aggregated = True
         self._shares.aggregates = own in aggregators or bool(self._shares.asking)
         asked = [
-            Recipient(address=name.address, router=name.router, ask=Ask.AGGREGATE)
+            Recipient(
+                address=name.address, router=name.router, ask=ReplyRequest.AGGREGATE
+            )
             for name in aggregators
             if name != own
         ]
@@ -127,4 +129,6 @@
 
 
 def _asking_for_answers(addresses: list[Address]) -> list[Recipient]:
-    return [Recipient(address=address, ask=Ask.ANSWER) for address in addresses]
+    return [
+        Recipient(address=address, ask=ReplyRequest.ANSWER) for address in addresses
+    ]
--- a/dotterelpaddle/tests/peers/test_messages.py
+++ b/dotterelpaddle/tests/peers/test_messages.py
@@ -11,7 +11,12 @@
 from dotterelpaddle.forwarding.crashes import CrashNote, NoteKind
 from dotterelpaddle.forwarding.evacuations import EvacuationSnapshot
 from dotterelpaddle.forwarding.leaving import LeavingNotice
-from dotterelpaddle.forwarding.shares import Ask, RepeatCounts, Share, TotalsScope
+from dotterelpaddle.forwarding.shares import (
+    RepeatCounts,
+    ReplyRequest,
+    Share,
+    TotalsScope,
+)
 from dotterelpaddle.ids import (
     EndpointId,
     FailureDomain,
@@ -71,7 +76,7 @@
                 loads={EndpointId("a"): 2},
                 repeats={ServiceName("s"): RepeatCounts(requests=4, repeats=1)},
             ),
-            "ask": Ask.AGGREGATE,
+            "ask": ReplyRequest.AGGREGATE,
             "leaving": True,
             "silent_owners": (RouterId("third"),),
             "platform_lost": True,
