--- a/dotterelpaddle/forwarding/repeats.py
+++ b/dotterelpaddle/forwarding/repeats.py
@@ -13,7 +13,7 @@
 from dataclasses import dataclass
 from typing import TYPE_CHECKING
 
-from dotterelpaddle.forwarding.shares import RepeatCounts
+from dotterelpaddle.forwarding.shares import RetryCounts
 
 if TYPE_CHECKING:
     from collections.abc import Callable
@@ -111,13 +111,13 @@
         self._window(self._repeats, service).add(now=self._clock())
         return True
 
-    def counts(self) -> dict[ServiceName, RepeatCounts]:
+    def counts(self) -> dict[ServiceName, RetryCounts]:
         """What this router sent in the last window, for the others."""
         now = self._clock()
         self._note_heard(count=self._shares.routers, now=now)
         services = self._requests.keys() | self._repeats.keys()
         return {
-            service: RepeatCounts(
+            service: RetryCounts(
                 requests=self._window(self._requests, service).total(now=now),
                 repeats=self._window(self._repeats, service).total(now=now),
             )
--- a/dotterelpaddle/forwarding/shares.py
+++ b/dotterelpaddle/forwarding/shares.py
@@ -44,7 +44,7 @@
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
-class RepeatCounts:
+class RetryCounts:
     """What was sent to a service in the last window.
 
     Attributes:
@@ -73,7 +73,7 @@
     routers: int = 1
     loads: Mapping[EndpointId, int] = field(default_factory=dict)
     reading: Mapping[EndpointId, int] = field(default_factory=dict)
-    repeats: Mapping[ServiceName, RepeatCounts] = field(default_factory=dict)
+    repeats: Mapping[ServiceName, RetryCounts] = field(default_factory=dict)
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
@@ -242,7 +242,7 @@
         loads=loads,
         reading=reading,
         repeats={
-            service: RepeatCounts(requests=count, repeats=repeats[service])
+            service: RetryCounts(requests=count, repeats=repeats[service])
             for service, count in requests.items()
         },
     )
--- a/dotterelpaddle/peers/messages.py
+++ b/dotterelpaddle/peers/messages.py
@@ -13,8 +13,8 @@
 from dotterelpaddle.forwarding.evacuations import EvacuationSnapshot
 from dotterelpaddle.forwarding.leaving import LeavingNotice
 from dotterelpaddle.forwarding.shares import (
-    RepeatCounts,
     ReplyRequest,
+    RetryCounts,
     Share,
     TotalsScope,
 )
@@ -304,7 +304,7 @@
         loads={endpoints[name]: int(load) for name, load in loads.items()},
         reading={endpoints[name]: int(tokens) for name, tokens in reading.items()},
         repeats={
-            ServiceName(name): RepeatCounts(
+            ServiceName(name): RetryCounts(
                 requests=int(counts[0]), repeats=int(counts[1])
             )
             for name, counts in repeats.items()
--- a/dotterelpaddle/tests/peers/test_messages.py
+++ b/dotterelpaddle/tests/peers/test_messages.py
@@ -12,8 +12,8 @@
 from dotterelpaddle.forwarding.evacuations import EvacuationSnapshot
 from dotterelpaddle.forwarding.leaving import LeavingNotice
 from dotterelpaddle.forwarding.shares import (
-    RepeatCounts,
     ReplyRequest,
+    RetryCounts,
     Share,
     TotalsScope,
 )
@@ -74,7 +74,7 @@
                 scope=TotalsScope.OTHERS,
                 routers=3,
                 loads={EndpointId("a"): 2},
-                repeats={ServiceName("s"): RepeatCounts(requests=4, repeats=1)},
+                repeats={ServiceName("s"): RetryCounts(requests=4, repeats=1)},
             ),
             "ask": ReplyRequest.AGGREGATE,
             "leaving": True,
