--- a/dotterelpaddle/forwarding/repeats.py
+++ b/dotterelpaddle/forwarding/repeats.py
@@ -119,7 +119,7 @@
         return {
             service: RetryCounts(
                 requests=self._window(self._requests, service).total(now=now),
-                repeats=self._window(self._repeats, service).total(now=now),
+                retries=self._window(self._repeats, service).total(now=now),
             )
             for service in services
         }
@@ -135,7 +135,7 @@
             counts = share.repeats.get(service)
             if counts is not None:
                 requests += counts.requests
-                repeats += counts.repeats
+                repeats += counts.retries
         self._note_heard(count=heard, now=now)
         routers = max(self._routers(), self._most_heard)
         budget = SAFETY * (self._limits.share * requests + self._limits.allowance)
--- a/dotterelpaddle/forwarding/shares.py
+++ b/dotterelpaddle/forwarding/shares.py
@@ -49,11 +49,11 @@
 
     Attributes:
         requests: Requests that came in for it.
-        repeats: Sends beyond the first of each.
+        retries: Sends beyond the first of each.
     """
 
     requests: int
-    repeats: int
+    retries: int
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
@@ -235,14 +235,14 @@
         reading.update(share.reading)
         for service, counts in share.repeats.items():
             requests[service] += counts.requests
-            repeats[service] += counts.repeats
+            repeats[service] += counts.retries
     return Share(
         scope=scope,
         routers=routers,
         loads=loads,
         reading=reading,
         repeats={
-            service: RetryCounts(requests=count, repeats=repeats[service])
+            service: RetryCounts(requests=count, retries=repeats[service])
             for service, count in requests.items()
         },
     )
--- a/dotterelpaddle/peers/messages.py
+++ b/dotterelpaddle/peers/messages.py
@@ -181,7 +181,7 @@
                     if (name := told.name(endpoint=endpoint)) is not None
                 },
                 {
-                    service: [counts.requests, counts.repeats]
+                    service: [counts.requests, counts.retries]
                     for service, counts in share.repeats.items()
                 },
             ],
@@ -305,7 +305,7 @@
         reading={endpoints[name]: int(tokens) for name, tokens in reading.items()},
         repeats={
             ServiceName(name): RetryCounts(
-                requests=int(counts[0]), repeats=int(counts[1])
+                requests=int(counts[0]), retries=int(counts[1])
             )
             for name, counts in repeats.items()
         },
