--- a/dotterelpaddle/forwarding/shares.py
+++ b/dotterelpaddle/forwarding/shares.py
@@ -57,7 +57,7 @@
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
-class Share:
+class RequestTotals:
     """Requests of some routers.
 
     Attributes:
@@ -78,7 +78,7 @@
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class _Told:
-    share: Share
+    share: RequestTotals
     domain: FailureDomain
     at: float
 
@@ -140,7 +140,7 @@
         *,
         router: RouterId,
         failure_domain: FailureDomain,
-        share: Share,
+        share: RequestTotals,
         ask: ReplyRequest = ReplyRequest.NOTHING,
     ) -> None:
         """Take in what a router told.
@@ -166,7 +166,9 @@
             case ReplyRequest.NOTHING:
                 self._asked.pop(router, None)
 
-    def in_force(self, *, max_age: float = MAX_TOTALS_AGE_SECONDS) -> tuple[Share, ...]:
+    def in_force(
+        self, *, max_age: float = MAX_TOTALS_AGE_SECONDS
+    ) -> tuple[RequestTotals, ...]:
         """Shares that together count each other router once, as far as known."""
         others = self._others
         if others is not None and not self._aggregates and self._is_fresh(others):
@@ -174,11 +176,11 @@
         near = [told.share for told in self._near(max_age=max_age).values()]
         return (*near, *self._far(max_age=max_age))
 
-    def own_domain(self, *, own: Share) -> Share:
+    def own_domain(self, *, own: RequestTotals) -> RequestTotals:
         """Sum up the own failure domain for other ones."""
         return total(scope=TotalsScope.DOMAIN, shares=[own, *self._near_shares()])
 
-    def all_but(self, *, own: Share, router: RouterId) -> Share:
+    def all_but(self, *, own: RequestTotals, router: RouterId) -> RequestTotals:
         """Sum up for a router of the own failure domain all that others told."""
         near = self._near(max_age=MAX_TOTALS_AGE_SECONDS)
         near.pop(router, None)
@@ -186,7 +188,7 @@
         shares += self._far(max_age=MAX_TOTALS_AGE_SECONDS)
         return total(scope=TotalsScope.OTHERS, shares=shares)
 
-    def _near_shares(self) -> list[Share]:
+    def _near_shares(self) -> list[RequestTotals]:
         return [
             told.share for told in self._near(max_age=MAX_TOTALS_AGE_SECONDS).values()
         ]
@@ -200,7 +202,7 @@
             and self._is_fresh(told, max_age=max_age)
         }
 
-    def _far(self, *, max_age: float) -> list[Share]:
+    def _far(self, *, max_age: float) -> list[RequestTotals]:
         """What was told of other failure domains: sums, where there are any."""
         aggregated = {
             domain: told.share
@@ -222,7 +224,7 @@
         return self._clock() - told.at <= max_age
 
 
-def total(*, scope: TotalsScope, shares: Iterable[Share]) -> Share:
+def total(*, scope: TotalsScope, shares: Iterable[RequestTotals]) -> RequestTotals:
     """Add shares up."""
     routers = 0
     loads: Counter[EndpointId] = Counter()
@@ -236,7 +238,7 @@
         for service, counts in share.repeats.items():
             requests[service] += counts.requests
             repeats[service] += counts.retries
-    return Share(
+    return RequestTotals(
         scope=scope,
         routers=routers,
         loads=loads,
--- a/dotterelpaddle/peers/exchange.py
+++ b/dotterelpaddle/peers/exchange.py
@@ -10,7 +10,7 @@
 
 from dotterelpaddle.exceptions import ControlError
 from dotterelpaddle.forwarding.caches import UseOrigin
-from dotterelpaddle.forwarding.shares import ReplyRequest, Share, TotalsScope
+from dotterelpaddle.forwarding.shares import ReplyRequest, RequestTotals, TotalsScope
 from dotterelpaddle.ids import Revision
 from dotterelpaddle.logs import get_logger
 from dotterelpaddle.owners.messages import START
@@ -202,7 +202,7 @@
             configuration_age=min(follower.configuration_age, word.configuration_age),
             endpoints_age=min(follower.endpoints_age, word.endpoints_age),
             endpoints_tag=self._view.endpoints_tag,
-            share=Share(
+            share=RequestTotals(
                 loads=self._loads.own,
                 reading=self._loads.own_queued_tokens,
                 repeats=self._repeats.counts(),
@@ -219,7 +219,7 @@
             evacuated=self._view.evacuations.snapshot,
         )
 
-    def _share(self, *, own: Share, recipient: Recipient) -> Share:
+    def _share(self, *, own: RequestTotals, recipient: Recipient) -> RequestTotals:
         match recipient.scope:
             case TotalsScope.DOMAIN:
                 return self._shares.own_domain(own=own)
--- a/dotterelpaddle/peers/messages.py
+++ b/dotterelpaddle/peers/messages.py
@@ -14,8 +14,8 @@
 from dotterelpaddle.forwarding.leaving import LeavingNotice
 from dotterelpaddle.forwarding.shares import (
     ReplyRequest,
+    RequestTotals,
     RetryCounts,
-    Share,
     TotalsScope,
 )
 from dotterelpaddle.ids import (
@@ -132,7 +132,7 @@
     configuration_age: float
     endpoints_age: float
     endpoints_tag: int
-    share: Share
+    share: RequestTotals
     ask: ReplyRequest = ReplyRequest.NOTHING
     routers: int = 1
     domains: tuple[FailureDomain, ...] = ()
@@ -296,9 +296,9 @@
 
 def _share(
     fields: Any, reading: Mapping[str, int], endpoints: Mapping[str, EndpointId]
-) -> Share:
+) -> RequestTotals:
     scope, routers, loads, repeats = fields
-    return Share(
+    return RequestTotals(
         scope=TotalsScope(scope),
         routers=int(routers),
         loads={endpoints[name]: int(load) for name, load in loads.items()},
--- a/dotterelpaddle/tests/forwarding/test_cold.py
+++ b/dotterelpaddle/tests/forwarding/test_cold.py
@@ -36,7 +36,7 @@
 from dotterelpaddle.forwarding.quiet import EndpointBackoffs
 from dotterelpaddle.forwarding.reachability import Reachability
 from dotterelpaddle.forwarding.settings import ColdBounds
-from dotterelpaddle.forwarding.shares import Share, ShareBook
+from dotterelpaddle.forwarding.shares import RequestTotals, ShareBook
 from dotterelpaddle.forwarding.view import FleetView
 from dotterelpaddle.ids import (
     EndpointId,
@@ -98,7 +98,7 @@
         shares.hear(
             router=RouterId("other"),
             failure_domain=HERE,
-            share=Share(loads={WARM: 12}),
+            share=RequestTotals(loads={WARM: 12}),
         )
         self.placer = ForwardPlacer(
             view=self.view,
--- a/dotterelpaddle/tests/forwarding/test_herding.py
+++ b/dotterelpaddle/tests/forwarding/test_herding.py
@@ -22,7 +22,7 @@
 from dotterelpaddle.forwarding.placement import ForwardPlacer
 from dotterelpaddle.forwarding.quiet import EndpointBackoffs
 from dotterelpaddle.forwarding.reachability import Reachability
-from dotterelpaddle.forwarding.shares import Share, ShareBook, TotalsScope
+from dotterelpaddle.forwarding.shares import RequestTotals, ShareBook, TotalsScope
 from dotterelpaddle.forwarding.view import FleetView
 from dotterelpaddle.ids import (
     EndpointId,
@@ -59,7 +59,7 @@
     shares.hear(
         router=RouterId("other"),
         failure_domain=HERE,
-        share=Share(scope=TotalsScope.OTHERS, routers=routers - 1, loads=loads),
+        share=RequestTotals(scope=TotalsScope.OTHERS, routers=routers - 1, loads=loads),
     )
     caches = CacheMap(clock=lambda: 0.0)
     caches.record_prompt(endpoint=HOLDER, request=HOT)
--- a/dotterelpaddle/tests/forwarding/test_loads.py
+++ b/dotterelpaddle/tests/forwarding/test_loads.py
@@ -3,7 +3,7 @@
 from __future__ import annotations
 
 from dotterelpaddle.forwarding.loads import LoadTracker
-from dotterelpaddle.forwarding.shares import Share, ShareBook
+from dotterelpaddle.forwarding.shares import RequestTotals, ShareBook
 from dotterelpaddle.ids import EndpointId, FailureDomain, RouterId
 
 HERE = FailureDomain("here")
@@ -42,9 +42,9 @@
     shares.hear(
         router=RouterId("other"),
         failure_domain=HERE,
-        share=Share(loads={ENDPOINT: 2}, reading={ENDPOINT: 300}),
+        share=RequestTotals(loads={ENDPOINT: 2}, reading={ENDPOINT: 300}),
     )
     with book.track(endpoint=ENDPOINT, work=700):
         assert book.queued_tokens()[ENDPOINT] == 1000
-        own = Share(loads=book.own, reading=book.own_queued_tokens)
+        own = RequestTotals(loads=book.own, reading=book.own_queued_tokens)
         assert shares.own_domain(own=own).reading == {ENDPOINT: 1000}
--- a/dotterelpaddle/tests/forwarding/test_placement.py
+++ b/dotterelpaddle/tests/forwarding/test_placement.py
@@ -28,7 +28,11 @@
 from dotterelpaddle.forwarding.placement import ForwardPlacer
 from dotterelpaddle.forwarding.quiet import EndpointBackoffs
 from dotterelpaddle.forwarding.reachability import Reachability
-from dotterelpaddle.forwarding.shares import MAX_TOTALS_AGE_SECONDS, Share, ShareBook
+from dotterelpaddle.forwarding.shares import (
+    MAX_TOTALS_AGE_SECONDS,
+    RequestTotals,
+    ShareBook,
+)
 from dotterelpaddle.forwarding.view import FleetView
 from dotterelpaddle.ids import (
     EndpointId,
@@ -136,7 +140,7 @@
         self.parts.shares.hear(
             router=RouterId("other"),
             failure_domain=HERE,
-            share=Share(loads=counts),
+            share=RequestTotals(loads=counts),
         )
 
 
--- a/dotterelpaddle/tests/forwarding/test_repeats.py
+++ b/dotterelpaddle/tests/forwarding/test_repeats.py
@@ -11,7 +11,7 @@
     RepeatLimits,
     SharedRepeats,
 )
-from dotterelpaddle.forwarding.shares import Share, ShareBook, TotalsScope
+from dotterelpaddle.forwarding.shares import RequestTotals, ShareBook, TotalsScope
 from dotterelpaddle.ids import FailureDomain, RouterId, ServiceName
 
 SERVICE = ServiceName("records")
@@ -67,7 +67,7 @@
     )
 
     def hear(routers: int) -> None:
-        share = Share(scope=TotalsScope.OTHERS, routers=routers)
+        share = RequestTotals(scope=TotalsScope.OTHERS, routers=routers)
         shares.hear(router=RouterId("aggregator"), failure_domain=HERE, share=share)
         repeats.counts()
 
@@ -110,7 +110,7 @@
         self.shares[by].hear(
             router=RouterId(str(sender)),
             failure_domain=HERE,
-            share=Share(repeats=counts),
+            share=RequestTotals(repeats=counts),
         )
 
     @initialize()
--- a/dotterelpaddle/tests/owners/test_owner.py
+++ b/dotterelpaddle/tests/owners/test_owner.py
@@ -11,7 +11,7 @@
 
 from dotterelpaddle.forwarding.herding import load_bound
 from dotterelpaddle.forwarding.interface import EndpointsUpdate
-from dotterelpaddle.forwarding.shares import Share
+from dotterelpaddle.forwarding.shares import RequestTotals
 from dotterelpaddle.ids import EndpointId, FailureDomain, Revision, RouterId
 from dotterelpaddle.owners.counts import BELIEVED_TIME, TELL_TIME
 from dotterelpaddle.tests.forwarding.entries import make_entry, make_request
@@ -135,7 +135,7 @@
     world = World(endpoints=4, there=4)
     routers = _routers(world, 3)
     _settle(world, routers)
-    told = Share(loads=dict.fromkeys(world.others[:3], SLOTS))
+    told = RequestTotals(loads=dict.fromkeys(world.others[:3], SLOTS))
     world.shares.hear(router=RouterId("far"), failure_domain=THERE, share=told)
     _, question = routers[0].question(shard=THERE)
 
--- a/dotterelpaddle/tests/peers/test_messages.py
+++ b/dotterelpaddle/tests/peers/test_messages.py
@@ -13,8 +13,8 @@
 from dotterelpaddle.forwarding.leaving import LeavingNotice
 from dotterelpaddle.forwarding.shares import (
     ReplyRequest,
+    RequestTotals,
     RetryCounts,
-    Share,
     TotalsScope,
 )
 from dotterelpaddle.ids import (
@@ -70,7 +70,7 @@
             "configuration_age": 0.25,
             "endpoints_age": float("inf"),
             "endpoints_tag": 77,
-            "share": Share(
+            "share": RequestTotals(
                 scope=TotalsScope.OTHERS,
                 routers=3,
                 loads={EndpointId("a"): 2},
@@ -222,7 +222,7 @@
         report = _report(
             router=RouterId(name),
             failure_domain=FailureDomain(domain),
-            share=Share(),
+            share=RequestTotals(),
             peers=(),
         )
         world.directory.hear(report=report, address=Address(host=name, port=1))
@@ -231,7 +231,7 @@
         sequence=2,
         router=RouterId("two"),
         failure_domain="near",
-        share=Share(),
+        share=RequestTotals(),
         peers=(),
     )
     world.directory.hear(report=later, address=Address(host="two", port=1))
@@ -283,7 +283,7 @@
 def test_start_of_an_endpoint_is_told() -> None:
     start, other = EndpointId("a@1733000000123"), EndpointId("b")
     report = _report(
-        share=Share(loads={start: 2, other: 1}), uses=((5, start), (6, other))
+        share=RequestTotals(loads={start: 2, other: 1}), uses=((5, start), (6, other))
     )
 
     decoded = decode_report(datagram=encode_report(report=report))
@@ -295,7 +295,8 @@
 def test_only_the_latest_start_is_told() -> None:
     earlier, later = EndpointId("a@1733000000123"), EndpointId("a@1733000000999")
     report = _report(
-        share=Share(loads={earlier: 2, later: 1}), uses=((5, earlier), (6, later))
+        share=RequestTotals(loads={earlier: 2, later: 1}),
+        uses=((5, earlier), (6, later)),
     )
 
     decoded = decode_report(datagram=encode_report(report=report))
@@ -319,7 +320,7 @@
 
 def test_earlier_releases_find_names_where_they_look() -> None:
     start = EndpointId("a@1733000000123")
-    report = _report(share=Share(loads={start: 2}), uses=((5, start),))
+    report = _report(share=RequestTotals(loads={start: 2}), uses=((5, start),))
 
     fields = orjson.loads(encode_report(report=report))
 
@@ -330,7 +331,9 @@
 
 def test_report_tells_what_waits_to_be_read() -> None:
     start = EndpointId("a@1733000000123")
-    report = _report(share=Share(loads={start: 2}, reading={start: 9000}), uses=())
+    report = _report(
+        share=RequestTotals(loads={start: 2}, reading={start: 9000}), uses=()
+    )
 
     decoded = decode_report(datagram=encode_report(report=report))
 
--- a/dotterelpaddle/tests/peers/test_word.py
+++ b/dotterelpaddle/tests/peers/test_word.py
@@ -8,7 +8,7 @@
 from dotterelpaddle.forwarding.evacuations import EvacuationSnapshot
 from dotterelpaddle.forwarding.interface import EndpointsUpdate
 from dotterelpaddle.forwarding.model import EndpointState
-from dotterelpaddle.forwarding.shares import Share, ShareBook
+from dotterelpaddle.forwarding.shares import RequestTotals, ShareBook
 from dotterelpaddle.forwarding.view import FleetView
 from dotterelpaddle.ids import FailureDomain, Revision, RouterId
 from dotterelpaddle.peers.directory import ALIVE_TIME, PeerDirectory
@@ -77,7 +77,7 @@
             configuration_age=age,
             endpoints_age=age,
             endpoints_tag=view.endpoints_tag,
-            share=Share(),
+            share=RequestTotals(),
             platform_lost=cut_off,
             evacuated=evacuated,
         )
