--- a/dotterelpaddle/forwarding/loads.py
+++ b/dotterelpaddle/forwarding/loads.py
@@ -102,7 +102,7 @@
         """Tokens that wait to be read by endpoint, as far as this router knows."""
         reading = Counter(self._own_reading)
         for share in self._shares.in_force():
-            reading.update(share.reading)
+            reading.update(share.queued_tokens)
         return reading
 
 
--- a/dotterelpaddle/forwarding/shares.py
+++ b/dotterelpaddle/forwarding/shares.py
@@ -65,14 +65,14 @@
             recipient's.
         routers: How many routers that are.
         loads: Their requests in flight, by endpoint.
-        reading: Tokens that these wait to have read, by endpoint.
+        queued_tokens: Tokens that these wait to have read, by endpoint.
         repeats: What they sent of late, by service.
     """
 
     scope: TotalsScope = TotalsScope.ROUTER
     routers: int = 1
     loads: Mapping[EndpointId, int] = field(default_factory=dict)
-    reading: Mapping[EndpointId, int] = field(default_factory=dict)
+    queued_tokens: Mapping[EndpointId, int] = field(default_factory=dict)
     repeats: Mapping[ServiceName, RetryCounts] = field(default_factory=dict)
 
 
@@ -234,7 +234,7 @@
     for share in shares:
         routers += share.routers
         loads.update(share.loads)
-        reading.update(share.reading)
+        reading.update(share.queued_tokens)
         for service, counts in share.repeats.items():
             requests[service] += counts.requests
             repeats[service] += counts.retries
@@ -242,7 +242,7 @@
         scope=scope,
         routers=routers,
         loads=loads,
-        reading=reading,
+        queued_tokens=reading,
         repeats={
             service: RetryCounts(requests=count, retries=repeats[service])
             for service, count in requests.items()
--- a/dotterelpaddle/peers/exchange.py
+++ b/dotterelpaddle/peers/exchange.py
@@ -204,7 +204,7 @@
             endpoints_tag=self._view.endpoints_tag,
             share=RequestTotals(
                 loads=self._loads.own,
-                reading=self._loads.own_queued_tokens,
+                queued_tokens=self._loads.own_queued_tokens,
                 repeats=self._repeats.counts(),
             ),
             routers=self._plan.routers,
--- a/dotterelpaddle/peers/messages.py
+++ b/dotterelpaddle/peers/messages.py
@@ -154,7 +154,7 @@
     told = ToldStarts(
         endpoints=(
             *share.loads,
-            *share.reading,
+            *share.queued_tokens,
             *(endpoint for _, endpoint in report.uses),
         )
     )
@@ -198,7 +198,7 @@
             told.wire,
             {
                 name: tokens
-                for endpoint, tokens in share.reading.items()
+                for endpoint, tokens in share.queued_tokens.items()
                 if (name := told.name(endpoint=endpoint)) is not None
             },
             [_peer_fields(owner) for owner in report.owners],
@@ -302,7 +302,9 @@
         scope=TotalsScope(scope),
         routers=int(routers),
         loads={endpoints[name]: int(load) for name, load in loads.items()},
-        reading={endpoints[name]: int(tokens) for name, tokens in reading.items()},
+        queued_tokens={
+            endpoints[name]: int(tokens) for name, tokens in reading.items()
+        },
         repeats={
             ServiceName(name): RetryCounts(
                 requests=int(counts[0]), retries=int(counts[1])
--- a/dotterelpaddle/tests/forwarding/test_loads.py
+++ b/dotterelpaddle/tests/forwarding/test_loads.py
@@ -42,9 +42,9 @@
     shares.hear(
         router=RouterId("other"),
         failure_domain=HERE,
-        share=RequestTotals(loads={ENDPOINT: 2}, reading={ENDPOINT: 300}),
+        share=RequestTotals(loads={ENDPOINT: 2}, queued_tokens={ENDPOINT: 300}),
     )
     with book.track(endpoint=ENDPOINT, work=700):
         assert book.queued_tokens()[ENDPOINT] == 1000
-        own = RequestTotals(loads=book.own, reading=book.own_queued_tokens)
-        assert shares.own_domain(own=own).reading == {ENDPOINT: 1000}
+        own = RequestTotals(loads=book.own, queued_tokens=book.own_queued_tokens)
+        assert shares.own_domain(own=own).queued_tokens == {ENDPOINT: 1000}
--- a/dotterelpaddle/tests/peers/test_messages.py
+++ b/dotterelpaddle/tests/peers/test_messages.py
@@ -332,9 +332,9 @@
 def test_report_tells_what_waits_to_be_read() -> None:
     start = EndpointId("a@1733000000123")
     report = _report(
-        share=RequestTotals(loads={start: 2}, reading={start: 9000}), uses=()
+        share=RequestTotals(loads={start: 2}, queued_tokens={start: 9000}), uses=()
     )
 
     decoded = decode_report(datagram=encode_report(report=report))
 
-    assert decoded.share.reading == {start: 9000}
+    assert decoded.share.queued_tokens == {start: 9000}
