--- a/dotterelpaddle/forwarding/repeats.py
+++ b/dotterelpaddle/forwarding/repeats.py
@@ -132,7 +132,7 @@
         requests, repeats, heard = own_requests, own_repeats, 1
         for share in self._shares.in_force(max_age=self._limits.window):
             heard += share.routers
-            counts = share.repeats.get(service)
+            counts = share.retries.get(service)
             if counts is not None:
                 requests += counts.requests
                 repeats += counts.retries
--- a/dotterelpaddle/forwarding/shares.py
+++ b/dotterelpaddle/forwarding/shares.py
@@ -66,14 +66,14 @@
         routers: How many routers that are.
         loads: Their requests in flight, by endpoint.
         queued_tokens: Tokens that these wait to have read, by endpoint.
-        repeats: What they sent of late, by service.
+        retries: What they sent of late, by service.
     """
 
     scope: TotalsScope = TotalsScope.ROUTER
     routers: int = 1
     loads: Mapping[EndpointId, int] = field(default_factory=dict)
     queued_tokens: Mapping[EndpointId, int] = field(default_factory=dict)
-    repeats: Mapping[ServiceName, RetryCounts] = field(default_factory=dict)
+    retries: Mapping[ServiceName, RetryCounts] = field(default_factory=dict)
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
@@ -235,7 +235,7 @@
         routers += share.routers
         loads.update(share.loads)
         reading.update(share.queued_tokens)
-        for service, counts in share.repeats.items():
+        for service, counts in share.retries.items():
             requests[service] += counts.requests
             repeats[service] += counts.retries
     return RequestTotals(
@@ -243,7 +243,7 @@
         routers=routers,
         loads=loads,
         queued_tokens=reading,
-        repeats={
+        retries={
             service: RetryCounts(requests=count, retries=repeats[service])
             for service, count in requests.items()
         },
--- a/dotterelpaddle/peers/exchange.py
+++ b/dotterelpaddle/peers/exchange.py
@@ -205,7 +205,7 @@
             share=RequestTotals(
                 loads=self._loads.own,
                 queued_tokens=self._loads.own_queued_tokens,
-                repeats=self._repeats.counts(),
+                retries=self._repeats.counts(),
             ),
             routers=self._plan.routers,
             domains=tuple(
--- a/dotterelpaddle/peers/messages.py
+++ b/dotterelpaddle/peers/messages.py
@@ -182,7 +182,7 @@
                 },
                 {
                     service: [counts.requests, counts.retries]
-                    for service, counts in share.repeats.items()
+                    for service, counts in share.retries.items()
                 },
             ],
             report.ask.value,
@@ -305,7 +305,7 @@
         queued_tokens={
             endpoints[name]: int(tokens) for name, tokens in reading.items()
         },
-        repeats={
+        retries={
             ServiceName(name): RetryCounts(
                 requests=int(counts[0]), retries=int(counts[1])
             )
--- a/dotterelpaddle/tests/forwarding/test_repeats.py
+++ b/dotterelpaddle/tests/forwarding/test_repeats.py
@@ -110,7 +110,7 @@
         self.shares[by].hear(
             router=RouterId(str(sender)),
             failure_domain=HERE,
-            share=RequestTotals(repeats=counts),
+            share=RequestTotals(retries=counts),
         )
 
     @initialize()
--- a/dotterelpaddle/tests/peers/test_messages.py
+++ b/dotterelpaddle/tests/peers/test_messages.py
@@ -74,7 +74,7 @@
                 scope=TotalsScope.OTHERS,
                 routers=3,
                 loads={EndpointId("a"): 2},
-                repeats={ServiceName("s"): RetryCounts(requests=4, retries=1)},
+                retries={ServiceName("s"): RetryCounts(requests=4, retries=1)},
             ),
             "ask": ReplyRequest.AGGREGATE,
             "leaving": True,
