--- a/dotterelpaddle/forwarding/shares.py
+++ b/dotterelpaddle/forwarding/shares.py
@@ -78,7 +78,7 @@
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class _Told:
-    share: RequestTotals
+    totals: RequestTotals
     domain: FailureDomain
     at: float
 
@@ -152,7 +152,7 @@
             ask: What it asks in return; sums of all others, say.
         """
         now = self._clock()
-        told = _Told(share=share, domain=failure_domain, at=now)
+        told = _Told(totals=share, domain=failure_domain, at=now)
         match share.scope:
             case TotalsScope.ROUTER:
                 self._routers[router] = told
@@ -172,8 +172,8 @@
         """Shares that together count each other router once, as far as known."""
         others = self._others
         if others is not None and not self._aggregates and self._is_fresh(others):
-            return (others.share,)
-        near = [told.share for told in self._near(max_age=max_age).values()]
+            return (others.totals,)
+        near = [told.totals for told in self._near(max_age=max_age).values()]
         return (*near, *self._far(max_age=max_age))
 
     def own_domain(self, *, own: RequestTotals) -> RequestTotals:
@@ -184,13 +184,13 @@
         """Sum up for a router of the own failure domain all that others told."""
         near = self._near(max_age=MAX_TOTALS_AGE_SECONDS)
         near.pop(router, None)
-        shares = [own, *(told.share for told in near.values())]
+        shares = [own, *(told.totals for told in near.values())]
         shares += self._far(max_age=MAX_TOTALS_AGE_SECONDS)
         return total(scope=TotalsScope.OTHERS, shares=shares)
 
     def _near_shares(self) -> list[RequestTotals]:
         return [
-            told.share for told in self._near(max_age=MAX_TOTALS_AGE_SECONDS).values()
+            told.totals for told in self._near(max_age=MAX_TOTALS_AGE_SECONDS).values()
         ]
 
     def _near(self, *, max_age: float) -> dict[RouterId, _Told]:
@@ -205,12 +205,12 @@
     def _far(self, *, max_age: float) -> list[RequestTotals]:
         """What was told of other failure domains: sums, where there are any."""
         aggregated = {
-            domain: told.share
+            domain: told.totals
             for domain, told in self._domains.items()
             if domain != self._failure_domain and self._is_fresh(told)
         }
         single = [
-            told.share
+            told.totals
             for told in self._routers.values()
             if told.domain != self._failure_domain
             and told.domain not in aggregated
