--- a/dotterelpaddle/forwarding/shares.py
+++ b/dotterelpaddle/forwarding/shares.py
@@ -80,7 +80,7 @@
 class _Told:
     totals: RequestTotals
     domain: FailureDomain
-    at: float
+    received_at: float
 
 
 class ShareBook:
@@ -152,7 +152,7 @@
             ask: What it asks in return; sums of all others, say.
         """
         now = self._clock()
-        told = _Told(totals=share, domain=failure_domain, at=now)
+        told = _Told(totals=share, domain=failure_domain, received_at=now)
         match share.scope:
             case TotalsScope.ROUTER:
                 self._routers[router] = told
@@ -221,7 +221,7 @@
     def _is_fresh(
         self, told: _Told, *, max_age: float = MAX_TOTALS_AGE_SECONDS
     ) -> bool:
-        return self._clock() - told.at <= max_age
+        return self._clock() - told.received_at <= max_age
 
 
 def total(*, scope: TotalsScope, shares: Iterable[RequestTotals]) -> RequestTotals:
