--- a/dotterelpaddle/forwarding/loads.py
+++ b/dotterelpaddle/forwarding/loads.py
@@ -9,7 +9,7 @@
 if TYPE_CHECKING:
     from collections.abc import Callable, Iterator, Mapping
 
-    from dotterelpaddle.forwarding.shares import ShareBook
+    from dotterelpaddle.forwarding.shares import TotalsTracker
     from dotterelpaddle.ids import EndpointId
 
 
@@ -43,7 +43,7 @@
         shares: What other routers told.
     """
 
-    def __init__(self, *, shares: ShareBook) -> None:
+    def __init__(self, *, shares: TotalsTracker) -> None:
         self._shares = shares
         self._own: Counter[EndpointId] = Counter()
         self._changed: Callable[[EndpointId, int], None] | None = None
--- a/dotterelpaddle/forwarding/parts.py
+++ b/dotterelpaddle/forwarding/parts.py
@@ -27,7 +27,7 @@
 from dotterelpaddle.forwarding.reachability import Reachability
 from dotterelpaddle.forwarding.repeats import SharedRepeats
 from dotterelpaddle.forwarding.residency import ResidencyPolicy
-from dotterelpaddle.forwarding.shares import ShareBook
+from dotterelpaddle.forwarding.shares import TotalsTracker
 from dotterelpaddle.forwarding.signs import EndpointSigns
 from dotterelpaddle.forwarding.view import FleetView
 from dotterelpaddle.forwarding.waits import TimeoutEstimator
@@ -99,7 +99,7 @@
     """
 
     view: FleetView
-    shares: ShareBook
+    shares: TotalsTracker
     loads: LoadTracker
     health: HealthTracker
     signs: EndpointSigns
@@ -347,7 +347,7 @@
         seeds=settings.seeds,
         clock=clock,
     )
-    shares = ShareBook(failure_domain=settings.failure_domain, clock=clock)
+    shares = TotalsTracker(failure_domain=settings.failure_domain, clock=clock)
     view = FleetView(
         clock=clock,
         leaving=LeavingEndpoints(
--- a/dotterelpaddle/forwarding/repeats.py
+++ b/dotterelpaddle/forwarding/repeats.py
@@ -19,7 +19,7 @@
     from collections.abc import Callable
 
     from dotterelpaddle.clock import Clock
-    from dotterelpaddle.forwarding.shares import ShareBook
+    from dotterelpaddle.forwarding.shares import TotalsTracker
     from dotterelpaddle.ids import ServiceName
 
 SAFETY = 0.85
@@ -83,7 +83,7 @@
         self,
         *,
         limits: RepeatLimits,
-        shares: ShareBook,
+        shares: TotalsTracker,
         routers: Callable[[], int],
         clock: Clock,
     ) -> None:
--- a/dotterelpaddle/forwarding/shares.py
+++ b/dotterelpaddle/forwarding/shares.py
@@ -83,7 +83,7 @@
     received_at: float
 
 
-class ShareBook:
+class TotalsTracker:
     """The latest shares, and which of them count each other router once.
 
     Args:
--- a/dotterelpaddle/peers/exchange.py
+++ b/dotterelpaddle/peers/exchange.py
@@ -31,7 +31,7 @@
     from dotterelpaddle.forwarding.follower import Follower
     from dotterelpaddle.forwarding.loads import LoadTracker
     from dotterelpaddle.forwarding.repeats import SharedRepeats
-    from dotterelpaddle.forwarding.shares import ShareBook
+    from dotterelpaddle.forwarding.shares import TotalsTracker
     from dotterelpaddle.forwarding.uses import PartUse
     from dotterelpaddle.forwarding.view import FleetView
     from dotterelpaddle.owners.asking import OwnerExchange
@@ -94,7 +94,7 @@
         view: FleetView,
         loads: LoadTracker,
         repeats: SharedRepeats,
-        shares: ShareBook,
+        shares: TotalsTracker,
         caches: CacheMap,
         crashes: CrashBook,
         directory: PeerDirectory,
--- a/dotterelpaddle/peers/plan.py
+++ b/dotterelpaddle/peers/plan.py
@@ -15,7 +15,7 @@
 
 if TYPE_CHECKING:
     from dotterelpaddle.address import Address
-    from dotterelpaddle.forwarding.shares import ShareBook
+    from dotterelpaddle.forwarding.shares import TotalsTracker
     from dotterelpaddle.ids import RouterId
     from dotterelpaddle.peers.directory import PeerDirectory
 
@@ -49,7 +49,7 @@
         shares: What they told, and who wants to be told of all.
     """
 
-    def __init__(self, *, directory: PeerDirectory, shares: ShareBook) -> None:
+    def __init__(self, *, directory: PeerDirectory, shares: TotalsTracker) -> None:
         self._directory = directory
         self._shares = shares
 
--- a/dotterelpaddle/peers/word.py
+++ b/dotterelpaddle/peers/word.py
@@ -15,7 +15,7 @@
     from collections.abc import Iterable
 
     from dotterelpaddle.clock import Clock
-    from dotterelpaddle.forwarding.shares import ShareBook
+    from dotterelpaddle.forwarding.shares import TotalsTracker
     from dotterelpaddle.forwarding.view import FleetView
     from dotterelpaddle.peers.directory import Peer, PeerDirectory
 
@@ -35,7 +35,7 @@
         *,
         view: FleetView,
         directory: PeerDirectory,
-        shares: ShareBook,
+        shares: TotalsTracker,
         clock: Clock,
     ) -> None:
         self._shares = shares
--- a/dotterelpaddle/tests/forwarding/test_cold.py
+++ b/dotterelpaddle/tests/forwarding/test_cold.py
@@ -36,7 +36,7 @@
 from dotterelpaddle.forwarding.quiet import EndpointBackoffs
 from dotterelpaddle.forwarding.reachability import Reachability
 from dotterelpaddle.forwarding.settings import ColdBounds
-from dotterelpaddle.forwarding.shares import RequestTotals, ShareBook
+from dotterelpaddle.forwarding.shares import RequestTotals, TotalsTracker
 from dotterelpaddle.forwarding.view import FleetView
 from dotterelpaddle.ids import (
     EndpointId,
@@ -94,7 +94,7 @@
             routers=lambda: self.routers,
             clock=self._clock,
         )
-        shares = ShareBook(failure_domain=HERE, clock=self._clock)
+        shares = TotalsTracker(failure_domain=HERE, clock=self._clock)
         shares.hear(
             router=RouterId("other"),
             failure_domain=HERE,
--- a/dotterelpaddle/tests/forwarding/test_herding.py
+++ b/dotterelpaddle/tests/forwarding/test_herding.py
@@ -22,7 +22,7 @@
 from dotterelpaddle.forwarding.placement import ForwardPlacer
 from dotterelpaddle.forwarding.quiet import EndpointBackoffs
 from dotterelpaddle.forwarding.reachability import Reachability
-from dotterelpaddle.forwarding.shares import RequestTotals, ShareBook, TotalsScope
+from dotterelpaddle.forwarding.shares import RequestTotals, TotalsScope, TotalsTracker
 from dotterelpaddle.forwarding.view import FleetView
 from dotterelpaddle.ids import (
     EndpointId,
@@ -54,7 +54,7 @@
     view.apply_endpoints_update(
         read=EndpointsUpdate(revision=Revision(1), entries=entries, is_snapshot=True)
     )
-    shares = ShareBook(failure_domain=HERE, clock=lambda: 0.0)
+    shares = TotalsTracker(failure_domain=HERE, clock=lambda: 0.0)
     shares.aggregates = False
     shares.hear(
         router=RouterId("other"),
--- a/dotterelpaddle/tests/forwarding/test_loads.py
+++ b/dotterelpaddle/tests/forwarding/test_loads.py
@@ -3,15 +3,15 @@
 from __future__ import annotations
 
 from dotterelpaddle.forwarding.loads import LoadTracker
-from dotterelpaddle.forwarding.shares import RequestTotals, ShareBook
+from dotterelpaddle.forwarding.shares import RequestTotals, TotalsTracker
 from dotterelpaddle.ids import EndpointId, FailureDomain, RouterId
 
 HERE = FailureDomain("here")
 ENDPOINT = EndpointId("engine-1")
 
 
-def _book() -> tuple[LoadTracker, ShareBook]:
-    shares = ShareBook(failure_domain=HERE, clock=lambda: 0.0)
+def _book() -> tuple[LoadTracker, TotalsTracker]:
+    shares = TotalsTracker(failure_domain=HERE, clock=lambda: 0.0)
     return LoadTracker(shares=shares), shares
 
 
--- a/dotterelpaddle/tests/forwarding/test_placement.py
+++ b/dotterelpaddle/tests/forwarding/test_placement.py
@@ -31,7 +31,7 @@
 from dotterelpaddle.forwarding.shares import (
     MAX_TOTALS_AGE_SECONDS,
     RequestTotals,
-    ShareBook,
+    TotalsTracker,
 )
 from dotterelpaddle.forwarding.view import FleetView
 from dotterelpaddle.ids import (
@@ -74,7 +74,7 @@
             return self.now
 
         view = FleetView(clock=clock)
-        shares = ShareBook(failure_domain=HERE, clock=clock)
+        shares = TotalsTracker(failure_domain=HERE, clock=clock)
         loads, health = LoadTracker(shares=shares), HealthTracker(clock=clock)
         caches = CacheMap(clock=clock)
         reachability = Reachability(
--- a/dotterelpaddle/tests/forwarding/test_repeats.py
+++ b/dotterelpaddle/tests/forwarding/test_repeats.py
@@ -11,7 +11,7 @@
     RepeatLimits,
     SharedRepeats,
 )
-from dotterelpaddle.forwarding.shares import RequestTotals, ShareBook, TotalsScope
+from dotterelpaddle.forwarding.shares import RequestTotals, TotalsScope, TotalsTracker
 from dotterelpaddle.ids import FailureDomain, RouterId, ServiceName
 
 SERVICE = ServiceName("records")
@@ -25,7 +25,7 @@
 def _repeats(*, routers: int = 1) -> SharedRepeats:
     return SharedRepeats(
         limits=LIMITS,
-        shares=ShareBook(failure_domain=HERE, clock=lambda: 0.0),
+        shares=TotalsTracker(failure_domain=HERE, clock=lambda: 0.0),
         routers=lambda: routers,
         clock=lambda: 0.0,
     )
@@ -60,7 +60,7 @@
 
 def test_routers_behind_a_cut_may_spend_what_they_were_counted_for() -> None:
     now = 0.0
-    shares = ShareBook(failure_domain=HERE, clock=lambda: now)
+    shares = TotalsTracker(failure_domain=HERE, clock=lambda: now)
     shares.aggregates = False
     repeats = SharedRepeats(
         limits=LIMITS, shares=shares, routers=lambda: 4, clock=lambda: now
@@ -91,13 +91,13 @@
         super().__init__()
         self.now = 0.0
         self.routers: list[SharedRepeats] = []
-        self.shares: list[ShareBook] = []
+        self.shares: list[TotalsTracker] = []
         self.requests: list[float] = []
         self.repeats: list[float] = []
         self.pending: list[tuple[int, dict]] = []  # type: ignore[type-arg]
 
     def _router(self) -> SharedRepeats:
-        shares = ShareBook(failure_domain=HERE, clock=lambda: self.now)
+        shares = TotalsTracker(failure_domain=HERE, clock=lambda: self.now)
         self.shares.append(shares)
         return SharedRepeats(
             limits=LIMITS,
--- a/dotterelpaddle/tests/forwarding/test_starts.py
+++ b/dotterelpaddle/tests/forwarding/test_starts.py
@@ -14,7 +14,7 @@
 from dotterelpaddle.forwarding.interface import EndpointsUpdate
 from dotterelpaddle.forwarding.loads import LoadTracker
 from dotterelpaddle.forwarding.model import EndpointState
-from dotterelpaddle.forwarding.shares import ShareBook
+from dotterelpaddle.forwarding.shares import TotalsTracker
 from dotterelpaddle.forwarding.unusable import UnusableEntries
 from dotterelpaddle.forwarding.view import FleetView
 from dotterelpaddle.ids import EndpointName, FailureDomain, Revision, ServiceName
@@ -199,7 +199,7 @@
 def test_nothing_known_of_an_earlier_start_counts_for_the_next() -> None:
     view = FleetView(clock=lambda: 0.0)
     caches, health = CacheMap(clock=lambda: 0.0), HealthTracker(clock=lambda: 0.0)
-    shares = ShareBook(failure_domain=FailureDomain("here"), clock=lambda: 0.0)
+    shares = TotalsTracker(failure_domain=FailureDomain("here"), clock=lambda: 0.0)
     loads = LoadTracker(shares=shares)
     _hear(view, (1, 0))
     (before,) = view.entries
--- a/dotterelpaddle/tests/owners/world.py
+++ b/dotterelpaddle/tests/owners/world.py
@@ -14,7 +14,7 @@
 from dotterelpaddle.forwarding.placement import ForwardPlacer
 from dotterelpaddle.forwarding.quiet import EndpointBackoffs
 from dotterelpaddle.forwarding.reachability import Reachability
-from dotterelpaddle.forwarding.shares import ShareBook
+from dotterelpaddle.forwarding.shares import TotalsTracker
 from dotterelpaddle.forwarding.view import FleetView
 from dotterelpaddle.ids import (
     EndpointId,
@@ -73,7 +73,7 @@
 
     def restart_owner(self) -> None:
         """Let another router own the shard, which knows nothing yet."""
-        self.shares = ShareBook(failure_domain=HERE, clock=self.clock)
+        self.shares = TotalsTracker(failure_domain=HERE, clock=self.clock)
         loads = LoadTracker(shares=self.shares)
         self.caches = CacheMap(clock=self.clock)
         self.counts = ShardCounts(clock=self.clock)
@@ -108,7 +108,7 @@
 
     def __init__(self, *, name: str, world: World) -> None:
         self._world = world
-        shares = ShareBook(failure_domain=HERE, clock=world.clock)
+        shares = TotalsTracker(failure_domain=HERE, clock=world.clock)
         self.loads = LoadTracker(shares=shares)
         self.requests = OwnRequests(
             router=RouterId(name),
--- a/dotterelpaddle/tests/peers/fleet.py
+++ b/dotterelpaddle/tests/peers/fleet.py
@@ -19,7 +19,7 @@
     from dotterelpaddle.forwarding.caches import CacheMap
     from dotterelpaddle.forwarding.loads import LoadTracker
     from dotterelpaddle.forwarding.repeats import SharedRepeats
-    from dotterelpaddle.forwarding.shares import ShareBook
+    from dotterelpaddle.forwarding.shares import TotalsTracker
     from dotterelpaddle.peers.directory import PeerDirectory
     from dotterelpaddle.peers.plan import ReportPlan
     from dotterelpaddle.peers.word import PeersWord
@@ -33,7 +33,7 @@
 
     name: PeerName
     directory: PeerDirectory
-    shares: ShareBook
+    shares: TotalsTracker
     loads: LoadTracker
     repeats: SharedRepeats
     caches: CacheMap
--- a/dotterelpaddle/tests/peers/test_word.py
+++ b/dotterelpaddle/tests/peers/test_word.py
@@ -8,7 +8,7 @@
 from dotterelpaddle.forwarding.evacuations import EvacuationSnapshot
 from dotterelpaddle.forwarding.interface import EndpointsUpdate
 from dotterelpaddle.forwarding.model import EndpointState
-from dotterelpaddle.forwarding.shares import RequestTotals, ShareBook
+from dotterelpaddle.forwarding.shares import RequestTotals, TotalsTracker
 from dotterelpaddle.forwarding.view import FleetView
 from dotterelpaddle.ids import FailureDomain, Revision, RouterId
 from dotterelpaddle.peers.directory import ALIVE_TIME, PeerDirectory
@@ -45,7 +45,7 @@
             link=0,
         )
         self.directory = PeerDirectory(own=own, seeds=(), clock=lambda: self.now)
-        self.shares = ShareBook(
+        self.shares = TotalsTracker(
             failure_domain=own.failure_domain, clock=lambda: self.now
         )
         self.word = PeersWord(
