--- a/dotterelpaddle/forwarding/shares.py
+++ b/dotterelpaddle/forwarding/shares.py
@@ -102,15 +102,15 @@
         self._aggregated = False
 
     @property
-    def aggregates(self) -> bool:
+    def is_aggregator(self) -> bool:
         """Whether this router adds up what others tell of themselves.
 
         Otherwise it relies on those that do.
         """
         return self._aggregates
 
-    @aggregates.setter
-    def aggregates(self, aggregates: bool) -> None:
+    @is_aggregator.setter
+    def is_aggregator(self, aggregates: bool) -> None:
         self._aggregates = aggregates
 
     @property
--- a/dotterelpaddle/peers/plan.py
+++ b/dotterelpaddle/peers/plan.py
@@ -68,7 +68,7 @@
         """Tell who is due for a report now."""
         if self.in_mesh:
             self._shares.aggregated = False
-            self._shares.aggregates = True
+            self._shares.is_aggregator = True
             self._directory.look()
             heard = [Recipient(address=each.address) for each in self._directory.alive]
             return heard + _asking_for_answers(self._directory.quiet_targets())
@@ -80,7 +80,7 @@
         own = directory.own
         aggregators = directory.aggregators(failure_domain=own.failure_domain)
         self._shares.aggregated = True
-        self._shares.aggregates = own in aggregators or bool(self._shares.asking)
+        self._shares.is_aggregator = own in aggregators or bool(self._shares.asking)
         asked = [
             Recipient(
                 address=name.address, router=name.router, ask=ReplyRequest.AGGREGATE
@@ -89,7 +89,7 @@
             if name != own
         ]
         recipients = asked + self._members(without={each.router for each in asked})
-        if self._shares.aggregates:
+        if self._shares.is_aggregator:
             recipients += self._other_domains()
         if own in aggregators:
             directory.name_owner()
--- a/dotterelpaddle/peers/word.py
+++ b/dotterelpaddle/peers/word.py
@@ -80,7 +80,7 @@
 
         Aggregators wait for them at the platform, each for itself.
         """
-        relying = self._shares.aggregated and not self._shares.aggregates
+        relying = self._shares.aggregated and not self._shares.is_aggregator
         return relying and bool(self._directory.alive)
 
     @property
--- a/dotterelpaddle/tests/forwarding/test_herding.py
+++ b/dotterelpaddle/tests/forwarding/test_herding.py
@@ -55,7 +55,7 @@
         read=EndpointsUpdate(revision=Revision(1), entries=entries, is_snapshot=True)
     )
     shares = TotalsTracker(failure_domain=HERE, clock=lambda: 0.0)
-    shares.aggregates = False
+    shares.is_aggregator = False
     shares.hear(
         router=RouterId("other"),
         failure_domain=HERE,
--- a/dotterelpaddle/tests/forwarding/test_repeats.py
+++ b/dotterelpaddle/tests/forwarding/test_repeats.py
@@ -61,7 +61,7 @@
 def test_routers_behind_a_cut_may_spend_what_they_were_counted_for() -> None:
     now = 0.0
     shares = TotalsTracker(failure_domain=HERE, clock=lambda: now)
-    shares.aggregates = False
+    shares.is_aggregator = False
     repeats = SharedRepeats(
         limits=LIMITS, shares=shares, routers=lambda: 4, clock=lambda: now
     )
--- a/dotterelpaddle/tests/peers/test_plan.py
+++ b/dotterelpaddle/tests/peers/test_plan.py
@@ -240,7 +240,7 @@
     fleet = _fleet(routers=58)
     _hold(fleet)
     await fleet.run(START_TIME)
-    stopping = [node for node in fleet.nodes if node.shares.aggregates]
+    stopping = [node for node in fleet.nodes if node.shares.is_aggregator]
     for node in stopping:
         node.directory.announce_leaving()
     await fleet.run(3 * HANDOVER_TIME)
--- a/dotterelpaddle/tests/peers/test_word.py
+++ b/dotterelpaddle/tests/peers/test_word.py
@@ -170,11 +170,11 @@
 def test_router_that_relies_on_aggregators_is_told_all_news() -> None:
     world = World(view=_view(revision=3))
     world.shares.aggregated = True
-    world.shares.aggregates = False
+    world.shares.is_aggregator = False
     alone = world.word.receives_configurations
     world.hear("other", view=_view(revision=3))
     relying = world.word.receives_configurations
-    world.shares.aggregates = True
+    world.shares.is_aggregator = True
 
     assert (alone, relying, world.word.receives_configurations) == (False, True, False)
 
