--- a/dotterelpaddle/forwarding/shares.py
+++ b/dotterelpaddle/forwarding/shares.py
@@ -114,12 +114,12 @@
         self._aggregates = aggregates
 
     @property
-    def aggregated(self) -> bool:
+    def has_aggregators(self) -> bool:
         """Whether the fleet is so large that a few routers aggregate for the others."""
         return self._aggregated
 
-    @aggregated.setter
-    def aggregated(self, aggregated: bool) -> None:
+    @has_aggregators.setter
+    def has_aggregators(self, aggregated: bool) -> None:
         self._aggregated = aggregated
 
     @property
--- a/dotterelpaddle/peers/plan.py
+++ b/dotterelpaddle/peers/plan.py
@@ -67,7 +67,7 @@
     def recipients(self) -> list[Recipient]:
         """Tell who is due for a report now."""
         if self.in_mesh:
-            self._shares.aggregated = False
+            self._shares.has_aggregators = False
             self._shares.is_aggregator = True
             self._directory.look()
             heard = [Recipient(address=each.address) for each in self._directory.alive]
@@ -79,7 +79,7 @@
         directory.look()
         own = directory.own
         aggregators = directory.aggregators(failure_domain=own.failure_domain)
-        self._shares.aggregated = True
+        self._shares.has_aggregators = True
         self._shares.is_aggregator = own in aggregators or bool(self._shares.asking)
         asked = [
             Recipient(
--- a/dotterelpaddle/peers/word.py
+++ b/dotterelpaddle/peers/word.py
@@ -62,7 +62,7 @@
     def many_routers(self) -> bool:
         """Whether the fleet is so large that a few routers work for the others."""
         told = (peer.report.routers for peer in self._directory.alive)
-        return self._shares.aggregated or max(told, default=0) > MOST_IN_MESH
+        return self._shares.has_aggregators or max(told, default=0) > MOST_IN_MESH
 
     @property
     def owns(self) -> bool | None:
@@ -80,13 +80,13 @@
 
         Aggregators wait for them at the platform, each for itself.
         """
-        relying = self._shares.aggregated and not self._shares.is_aggregator
+        relying = self._shares.has_aggregators and not self._shares.is_aggregator
         return relying and bool(self._directory.alive)
 
     @property
     def receives_endpoints(self) -> bool:
         """Whether others pass endpoints on to this router in good time."""
-        return self._shares.aggregated and not self.is_platform_reader
+        return self._shares.has_aggregators and not self.is_platform_reader
 
     @property
     def configuration_age(self) -> float:
--- a/dotterelpaddle/tests/peers/test_word.py
+++ b/dotterelpaddle/tests/peers/test_word.py
@@ -169,7 +169,7 @@
 
 def test_router_that_relies_on_aggregators_is_told_all_news() -> None:
     world = World(view=_view(revision=3))
-    world.shares.aggregated = True
+    world.shares.has_aggregators = True
     world.shares.is_aggregator = False
     alone = world.word.receives_configurations
     world.hear("other", view=_view(revision=3))
@@ -184,7 +184,7 @@
     passed_on = []
     for name in names:
         world = World(view=_view(revision=1), name=name)
-        world.shares.aggregated = True
+        world.shares.has_aggregators = True
         for other in names:
             if other != name:
                 world.hear(other, view=world.view)
