--- a/dotterelpaddle/forwarding/loads.py
+++ b/dotterelpaddle/forwarding/loads.py
@@ -62,7 +62,7 @@
     @property
     def routers(self) -> int:
         """Routers whose requests are counted, this one included."""
-        return self._shares.routers
+        return self._shares.router_count
 
     def on_change(self, observer: Callable[[EndpointId, int], None]) -> None:
         """Let somebody be told of each request that begins (1) or ends (-1)."""
--- a/dotterelpaddle/forwarding/parts.py
+++ b/dotterelpaddle/forwarding/parts.py
@@ -365,7 +365,7 @@
             router=settings.router,
             bounds=settings.cold_bounds,
             view=view,
-            routers=lambda: max(directory.count, shares.routers),
+            routers=lambda: max(directory.count, shares.router_count),
             clock=clock,
         ),
         caches=caches,
--- a/dotterelpaddle/forwarding/repeats.py
+++ b/dotterelpaddle/forwarding/repeats.py
@@ -114,7 +114,7 @@
     def counts(self) -> dict[ServiceName, RetryCounts]:
         """What this router sent in the last window, for the others."""
         now = self._clock()
-        self._note_heard(count=self._shares.routers, now=now)
+        self._note_heard(count=self._shares.router_count, now=now)
         services = self._requests.keys() | self._repeats.keys()
         return {
             service: RetryCounts(
--- a/dotterelpaddle/forwarding/shares.py
+++ b/dotterelpaddle/forwarding/shares.py
@@ -123,7 +123,7 @@
         self._aggregated = aggregated
 
     @property
-    def routers(self) -> int:
+    def router_count(self) -> int:
         """Routers whose requests are counted, this one included."""
         return 1 + sum(share.routers for share in self.in_force())
 
