--- a/dotterelpaddle/forwarding/shares.py
+++ b/dotterelpaddle/forwarding/shares.py
@@ -128,7 +128,7 @@
         return 1 + sum(share.routers for share in self.in_force())
 
     @property
-    def asking(self) -> frozenset[RouterId]:
+    def aggregation_requesters(self) -> frozenset[RouterId]:
         """Routers that ask this one to aggregate for them."""
         oldest = self._clock() - MAX_TOTALS_AGE_SECONDS
         return frozenset(
--- a/dotterelpaddle/peers/plan.py
+++ b/dotterelpaddle/peers/plan.py
@@ -80,7 +80,9 @@
         own = directory.own
         aggregators = directory.aggregators(failure_domain=own.failure_domain)
         self._shares.has_aggregators = True
-        self._shares.is_aggregator = own in aggregators or bool(self._shares.asking)
+        self._shares.is_aggregator = own in aggregators or bool(
+            self._shares.aggregation_requesters
+        )
         asked = [
             Recipient(
                 address=name.address, router=name.router, ask=ReplyRequest.AGGREGATE
@@ -104,7 +106,7 @@
 
     def _members(self, *, without: set[RouterId | None]) -> list[Recipient]:
         """Routers of the own failure domain that asked to be told of all others."""
-        asking = self._shares.asking - without
+        asking = self._shares.aggregation_requesters - without
         return [
             Recipient(
                 address=peer.address,
