--- a/dotterelpaddle/forwarding/shares.py
+++ b/dotterelpaddle/forwarding/shares.py
@@ -135,7 +135,7 @@
             router for router, asked_at in self._asked.items() if asked_at >= oldest
         )
 
-    def hear(
+    def receive(
         self,
         *,
         router: RouterId,
--- a/dotterelpaddle/peers/exchange.py
+++ b/dotterelpaddle/peers/exchange.py
@@ -291,7 +291,7 @@
         known = self._directory.knows(report=report)
         if not self._directory.hear(report=report, address=address):
             return False
-        self._shares.hear(
+        self._shares.receive(
             router=report.router,
             failure_domain=report.failure_domain,
             share=report.share,
--- a/dotterelpaddle/tests/forwarding/test_cold.py
+++ b/dotterelpaddle/tests/forwarding/test_cold.py
@@ -95,7 +95,7 @@
             clock=self._clock,
         )
         shares = TotalsTracker(failure_domain=HERE, clock=self._clock)
-        shares.hear(
+        shares.receive(
             router=RouterId("other"),
             failure_domain=HERE,
             share=RequestTotals(loads={WARM: 12}),
--- a/dotterelpaddle/tests/forwarding/test_herding.py
+++ b/dotterelpaddle/tests/forwarding/test_herding.py
@@ -56,7 +56,7 @@
     )
     shares = TotalsTracker(failure_domain=HERE, clock=lambda: 0.0)
     shares.is_aggregator = False
-    shares.hear(
+    shares.receive(
         router=RouterId("other"),
         failure_domain=HERE,
         share=RequestTotals(scope=TotalsScope.OTHERS, routers=routers - 1, loads=loads),
--- a/dotterelpaddle/tests/forwarding/test_loads.py
+++ b/dotterelpaddle/tests/forwarding/test_loads.py
@@ -39,7 +39,7 @@
 
 def test_what_waits_is_added_up_over_all_routers() -> None:
     book, shares = _book()
-    shares.hear(
+    shares.receive(
         router=RouterId("other"),
         failure_domain=HERE,
         share=RequestTotals(loads={ENDPOINT: 2}, queued_tokens={ENDPOINT: 300}),
--- a/dotterelpaddle/tests/forwarding/test_repeats.py
+++ b/dotterelpaddle/tests/forwarding/test_repeats.py
@@ -68,7 +68,7 @@
 
     def hear(routers: int) -> None:
         share = RequestTotals(scope=TotalsScope.OTHERS, routers=routers)
-        shares.hear(router=RouterId("aggregator"), failure_domain=HERE, share=share)
+        shares.receive(router=RouterId("aggregator"), failure_domain=HERE, share=share)
         repeats.counts()
 
     hear(11)
@@ -107,7 +107,7 @@
         )
 
     def _hear(self, *, by: int, sender: int, counts: dict) -> None:  # type: ignore[type-arg]
-        self.shares[by].hear(
+        self.shares[by].receive(
             router=RouterId(str(sender)),
             failure_domain=HERE,
             share=RequestTotals(retries=counts),
