--- a/dotterelpaddle/forwarding/loads.py
+++ b/dotterelpaddle/forwarding/loads.py
@@ -94,14 +94,14 @@
     def loads(self) -> Counter[EndpointId]:
         """Requests in flight by endpoint, as far as this router knows."""
         loads = Counter(self._own)
-        for share in self._shares.in_force():
+        for share in self._shares.current():
             loads.update(share.loads)
         return loads
 
     def queued_tokens(self) -> Counter[EndpointId]:
         """Tokens that wait to be read by endpoint, as far as this router knows."""
         reading = Counter(self._own_reading)
-        for share in self._shares.in_force():
+        for share in self._shares.current():
             reading.update(share.queued_tokens)
         return reading
 
--- a/dotterelpaddle/forwarding/repeats.py
+++ b/dotterelpaddle/forwarding/repeats.py
@@ -130,7 +130,7 @@
         own_requests = self._window(self._requests, service).total(now=now)
         own_repeats = self._window(self._repeats, service).total(now=now)
         requests, repeats, heard = own_requests, own_repeats, 1
-        for share in self._shares.in_force(max_age=self._limits.window):
+        for share in self._shares.current(max_age=self._limits.window):
             heard += share.routers
             counts = share.retries.get(service)
             if counts is not None:
--- a/dotterelpaddle/forwarding/shares.py
+++ b/dotterelpaddle/forwarding/shares.py
@@ -125,7 +125,7 @@
     @property
     def router_count(self) -> int:
         """Routers whose requests are counted, this one included."""
-        return 1 + sum(share.routers for share in self.in_force())
+        return 1 + sum(share.routers for share in self.current())
 
     @property
     def aggregation_requesters(self) -> frozenset[RouterId]:
@@ -166,7 +166,7 @@
             case ReplyRequest.NOTHING:
                 self._asked.pop(router, None)
 
-    def in_force(
+    def current(
         self, *, max_age: float = MAX_TOTALS_AGE_SECONDS
     ) -> tuple[RequestTotals, ...]:
         """Shares that together count each other router once, as far as known."""
