--- a/dotterelpaddle/forwarding/shares.py
+++ b/dotterelpaddle/forwarding/shares.py
@@ -176,7 +176,7 @@
         near = [told.totals for told in self._near(max_age=max_age).values()]
         return (*near, *self._far(max_age=max_age))
 
-    def own_domain(self, *, own: RequestTotals) -> RequestTotals:
+    def domain_totals(self, *, own: RequestTotals) -> RequestTotals:
         """Sum up the own failure domain for other ones."""
         return total(scope=TotalsScope.DOMAIN, shares=[own, *self._near_shares()])
 
--- a/dotterelpaddle/peers/exchange.py
+++ b/dotterelpaddle/peers/exchange.py
@@ -222,7 +222,7 @@
     def _share(self, *, own: RequestTotals, recipient: Recipient) -> RequestTotals:
         match recipient.scope:
             case TotalsScope.DOMAIN:
-                return self._shares.own_domain(own=own)
+                return self._shares.domain_totals(own=own)
             case TotalsScope.OTHERS if recipient.router is not None:
                 return self._shares.all_but(own=own, router=recipient.router)
         return own
--- a/dotterelpaddle/tests/forwarding/test_loads.py
+++ b/dotterelpaddle/tests/forwarding/test_loads.py
@@ -47,4 +47,4 @@
     with book.track(endpoint=ENDPOINT, work=700):
         assert book.queued_tokens()[ENDPOINT] == 1000
         own = RequestTotals(loads=book.own, queued_tokens=book.own_queued_tokens)
-        assert shares.own_domain(own=own).queued_tokens == {ENDPOINT: 1000}
+        assert shares.domain_totals(own=own).queued_tokens == {ENDPOINT: 1000}
