--- a/dotterelpaddle/forwarding/shares.py
+++ b/dotterelpaddle/forwarding/shares.py
@@ -180,7 +180,7 @@
         """Sum up the own failure domain for other ones."""
         return total(scope=TotalsScope.DOMAIN, shares=[own, *self._near_shares()])
 
-    def all_but(self, *, own: RequestTotals, router: RouterId) -> RequestTotals:
+    def totals_except(self, *, own: RequestTotals, router: RouterId) -> RequestTotals:
         """Sum up for a router of the own failure domain all that others told."""
         near = self._near(max_age=MAX_TOTALS_AGE_SECONDS)
         near.pop(router, None)
--- a/dotterelpaddle/peers/exchange.py
+++ b/dotterelpaddle/peers/exchange.py
@@ -224,7 +224,7 @@
             case TotalsScope.DOMAIN:
                 return self._shares.domain_totals(own=own)
             case TotalsScope.OTHERS if recipient.router is not None:
-                return self._shares.all_but(own=own, router=recipient.router)
+                return self._shares.totals_except(own=own, router=recipient.router)
         return own
 
     def _owners_told(self, *, recipient: Recipient) -> tuple[PeerName, ...]:
