--- a/dotterelpaddle/forwarding/shares.py
+++ b/dotterelpaddle/forwarding/shares.py
@@ -178,7 +178,7 @@
 
     def domain_totals(self, *, own: RequestTotals) -> RequestTotals:
         """Sum up the own failure domain for other ones."""
-        return total(scope=TotalsScope.DOMAIN, shares=[own, *self._near_shares()])
+        return sum_totals(scope=TotalsScope.DOMAIN, shares=[own, *self._near_shares()])
 
     def totals_except(self, *, own: RequestTotals, router: RouterId) -> RequestTotals:
         """Sum up for a router of the own failure domain all that others told."""
@@ -186,7 +186,7 @@
         near.pop(router, None)
         shares = [own, *(told.totals for told in near.values())]
         shares += self._far(max_age=MAX_TOTALS_AGE_SECONDS)
-        return total(scope=TotalsScope.OTHERS, shares=shares)
+        return sum_totals(scope=TotalsScope.OTHERS, shares=shares)
 
     def _near_shares(self) -> list[RequestTotals]:
         return [
@@ -224,7 +224,7 @@
         return self._clock() - told.received_at <= max_age
 
 
-def total(*, scope: TotalsScope, shares: Iterable[RequestTotals]) -> RequestTotals:
+def sum_totals(*, scope: TotalsScope, shares: Iterable[RequestTotals]) -> RequestTotals:
     """Add shares up."""
     routers = 0
     loads: Counter[EndpointId] = Counter()
