--- a/dotterelpaddle/forwarding/fingerprints.py
+++ b/dotterelpaddle/forwarding/fingerprints.py
@@ -19,7 +19,7 @@
 """Length of a fingerprint. Nobody can find a request with the fingerprint of another
 account's: the account is part of what is hashed, and 96 bits are out of reach."""
 
-SIZE_BYTES = 8
+LENGTH_PREFIX_BYTES = 8
 """Length of the sizes between the hashed parts, which keep them apart."""
 
 
@@ -41,6 +41,6 @@
         account.name.encode() if account is not None else b"",
         body,
     ):
-        digest.update(len(part).to_bytes(SIZE_BYTES))
+        digest.update(len(part).to_bytes(LENGTH_PREFIX_BYTES))
         digest.update(part)
     return Fingerprint(digest.hexdigest())
