--- a/dotterelpaddle/forwarding/crashes.py
+++ b/dotterelpaddle/forwarding/crashes.py
@@ -25,7 +25,7 @@
 
 log = get_logger(name=__name__)
 
-MOST_ENDED = 3
+MIN_CRASHES_TO_BLOCK = 3
 """Endpoints that may end under one request before it is blocked. One or two end by
 chance under a request that is sent on during a series of crashes; three seldom do."""
 
@@ -169,7 +169,7 @@
                 raise self._blocked_error(
                     suspect=suspect, tries=tries, wait=max(left, TRY_WAIT)
                 )
-        elif len(suspect.ended) < MOST_ENDED <= len(suspect.ended) + tries:
+        elif len(suspect.ended) < MIN_CRASHES_TO_BLOCK <= len(suspect.ended) + tries:
             raise self._blocked_error(suspect=suspect, tries=tries, wait=TRY_WAIT)
 
     def begin_try(self, *, fingerprint: Fingerprint, endpoint: EndpointId) -> None:
@@ -291,7 +291,7 @@
                     fingerprint: suspect.suspicion
                     for fingerprint, suspect in self._suspects.items()
                 },
-                least=MOST_ENDED,
+                least=MIN_CRASHES_TO_BLOCK,
             )
         return self._known_causes
 
@@ -389,4 +389,4 @@
 
 def _block_time(*, ended: int) -> float:
     """Seconds for which a request is blocked under which some endpoints ended."""
-    return min(FIRST_BLOCK * 2 ** (ended - MOST_ENDED), LONGEST_BLOCK)
+    return min(FIRST_BLOCK * 2 ** (ended - MIN_CRASHES_TO_BLOCK), LONGEST_BLOCK)
--- a/dotterelpaddle/tests/forwarding/test_crashes.py
+++ b/dotterelpaddle/tests/forwarding/test_crashes.py
@@ -11,7 +11,7 @@
 from dotterelpaddle.exceptions import RequestBlocked
 from dotterelpaddle.forwarding.crashes import (
     FIRST_BLOCK,
-    MOST_ENDED,
+    MIN_CRASHES_TO_BLOCK,
     MOST_SUSPECTS,
     MOST_TOLD,
     RARE_RETELL_TIME,
@@ -308,7 +308,7 @@
     def few_ends_block_little(self) -> None:
         for router in self.routers:
             ends = sum(len(suspect.ended) for suspect in router.book._suspects.values())
-            assert router.book.blocked <= ends // MOST_ENDED
+            assert router.book.blocked <= ends // MIN_CRASHES_TO_BLOCK
 
     def teardown(self) -> None:
         for _ in range(3):
--- a/dotterelpaddle/tests/forwarding/test_endings.py
+++ b/dotterelpaddle/tests/forwarding/test_endings.py
@@ -12,7 +12,7 @@
 from dotterelpaddle.address import Address
 from dotterelpaddle.clock import monotonic
 from dotterelpaddle.exceptions import RequestBlocked
-from dotterelpaddle.forwarding.crashes import MOST_ENDED, CrashBook
+from dotterelpaddle.forwarding.crashes import MIN_CRASHES_TO_BLOCK, CrashBook
 from dotterelpaddle.forwarding.endings import Endings
 from dotterelpaddle.forwarding.model import EndpointState
 from dotterelpaddle.forwarding.reachability import Reachability
@@ -56,7 +56,7 @@
 
     def broke_off(self, *, address: Address, **fields: object) -> None:
         """Let some endpoints at an address break off under one request."""
-        for number in range(MOST_ENDED):
+        for number in range(MIN_CRASHES_TO_BLOCK):
             self.endings.broke_off(
                 entry=make_entry(f"engine-{number}", address=address, **fields),
                 fingerprint=CULPRIT,
@@ -111,7 +111,7 @@
 
 async def test_end_of_an_endpoint_whose_answer_said_it_leaves_says_nothing() -> None:
     async with _looking() as looked:
-        for number in range(MOST_ENDED):
+        for number in range(MIN_CRASHES_TO_BLOCK):
             looked.leaving.record(endpoint=EndpointId(f"engine-{number}"))
         looked.broke_off(address=CLOSED)
 
