--- a/dotterelpaddle/forwarding/crashes.py
+++ b/dotterelpaddle/forwarding/crashes.py
@@ -29,7 +29,7 @@
 """Endpoints that may end under one request before it is blocked. One or two end by
 chance under a request that is sent on during a series of crashes; three seldom do."""
 
-FIRST_BLOCK = 60.0
+MIN_BLOCK_SECONDS = 60.0
 """Seconds for which a request is blocked first; then it is tried once more."""
 
 LONGEST_BLOCK = 600.0
@@ -389,4 +389,4 @@
 
 def _block_time(*, ended: int) -> float:
     """Seconds for which a request is blocked under which some endpoints ended."""
-    return min(FIRST_BLOCK * 2 ** (ended - MIN_CRASHES_TO_BLOCK), LONGEST_BLOCK)
+    return min(MIN_BLOCK_SECONDS * 2 ** (ended - MIN_CRASHES_TO_BLOCK), LONGEST_BLOCK)
--- a/dotterelpaddle/tests/forwarding/test_crashes.py
+++ b/dotterelpaddle/tests/forwarding/test_crashes.py
@@ -10,7 +10,7 @@
 
 from dotterelpaddle.exceptions import RequestBlocked
 from dotterelpaddle.forwarding.crashes import (
-    FIRST_BLOCK,
+    MIN_BLOCK_SECONDS,
     MIN_CRASHES_TO_BLOCK,
     MOST_SUSPECTS,
     MOST_TOLD,
@@ -154,7 +154,7 @@
     other = Router()
     router.end("a", "b", "c")
     router.tell(other)
-    other.now = router.now = router.now + FIRST_BLOCK + 1.0
+    other.now = router.now = router.now + MIN_BLOCK_SECONDS + 1.0
     assert router.passes()
     router.try_at("d")
     router.tell(other)
@@ -164,9 +164,9 @@
 
 def test_block_is_twice_as_long_after_a_try_in_vain(router: Router) -> None:
     router.end("a", "b", "c")
-    router.now += FIRST_BLOCK + 1.0
+    router.now += MIN_BLOCK_SECONDS + 1.0
     router.end("d")
-    router.now += 2 * FIRST_BLOCK - 1.0
+    router.now += 2 * MIN_BLOCK_SECONDS - 1.0
     assert not router.passes()
 
     router.now += 2.0
@@ -181,7 +181,7 @@
     with pytest.raises(RequestBlocked, match="a 10.0 s ago") as raised:
         router.book.check(fingerprint=CULPRIT)
 
-    assert raised.value.retry_after == pytest.approx(FIRST_BLOCK - 10.0)
+    assert raised.value.retry_after == pytest.approx(MIN_BLOCK_SECONDS - 10.0)
 
 
 def test_ends_are_forgotten_after_a_while(router: Router) -> None:
