--- a/dotterelpaddle/forwarding/crashes.py
+++ b/dotterelpaddle/forwarding/crashes.py
@@ -32,7 +32,7 @@
 MIN_BLOCK_SECONDS = 60.0
 """Seconds for which a request is blocked first; then it is tried once more."""
 
-LONGEST_BLOCK = 600.0
+MAX_BLOCK_SECONDS = 600.0
 """Seconds for which it is blocked at most, each time twice as long as before."""
 
 SUSPICION_TIME = 60.0
@@ -389,4 +389,6 @@
 
 def _block_time(*, ended: int) -> float:
     """Seconds for which a request is blocked under which some endpoints ended."""
-    return min(MIN_BLOCK_SECONDS * 2 ** (ended - MIN_CRASHES_TO_BLOCK), LONGEST_BLOCK)
+    return min(
+        MIN_BLOCK_SECONDS * 2 ** (ended - MIN_CRASHES_TO_BLOCK), MAX_BLOCK_SECONDS
+    )
