--- a/dotterelpaddle/forwarding/crashes.py
+++ b/dotterelpaddle/forwarding/crashes.py
@@ -35,7 +35,7 @@
 MAX_BLOCK_SECONDS = 600.0
 """Seconds for which it is blocked at most, each time twice as long as before."""
 
-SUSPICION_TIME = 60.0
+SUSPICION_SECONDS = 60.0
 """Seconds after the last end under a request after which none counts any more; a block
 comes on top."""
 
@@ -333,7 +333,7 @@
     def _forget(self, *, now: float) -> None:
         causes = self._causes()
         for fingerprint, suspect in tuple(self._suspects.items()):
-            kept = SUSPICION_TIME
+            kept = SUSPICION_SECONDS
             if fingerprint in causes:
                 kept += _block_time(ended=len(suspect.ended))
             suspect.tried = {
--- a/dotterelpaddle/tests/forwarding/test_crashes.py
+++ b/dotterelpaddle/tests/forwarding/test_crashes.py
@@ -16,7 +16,7 @@
     MOST_TOLD,
     RARE_RETELL_TIME,
     RETELL_TIME,
-    SUSPICION_TIME,
+    SUSPICION_SECONDS,
     TRY_TIME,
     CrashBook,
 )
@@ -186,7 +186,7 @@
 
 def test_ends_are_forgotten_after_a_while(router: Router) -> None:
     router.end("a", "b")
-    router.now += SUSPICION_TIME + 1.0
+    router.now += SUSPICION_SECONDS + 1.0
     router.book.news()
     router.end("c")
 
