--- a/dotterelpaddle/forwarding/crashes.py
+++ b/dotterelpaddle/forwarding/crashes.py
@@ -39,7 +39,7 @@
 """Seconds after the last end under a request after which none counts any more; a block
 comes on top."""
 
-TRY_TIME = 3.0
+MAX_ATTEMPT_SECONDS = 3.0
 """Seconds for which a try counts as under way; a stream begins within them or waits."""
 
 TRY_WAIT = 1.0
@@ -277,7 +277,7 @@
             log.info("request_block_ended", fingerprint=fingerprint, cause="served")
 
     def _tries(self, suspect: _Suspect) -> int:
-        oldest = self._clock() - TRY_TIME
+        oldest = self._clock() - MAX_ATTEMPT_SECONDS
         return sum(
             seen.at > oldest and endpoint not in suspect.ended
             for endpoint, seen in suspect.tried.items()
@@ -339,7 +339,7 @@
             suspect.tried = {
                 endpoint: seen
                 for endpoint, seen in suspect.tried.items()
-                if now - seen.at <= TRY_TIME
+                if now - seen.at <= MAX_ATTEMPT_SECONDS
             }
             if now - suspect.latest > kept and not suspect.tried:
                 del self._suspects[fingerprint]
--- a/dotterelpaddle/tests/forwarding/test_crashes.py
+++ b/dotterelpaddle/tests/forwarding/test_crashes.py
@@ -10,6 +10,7 @@
 
 from dotterelpaddle.exceptions import RequestBlocked
 from dotterelpaddle.forwarding.crashes import (
+    MAX_ATTEMPT_SECONDS,
     MIN_BLOCK_SECONDS,
     MIN_CRASHES_TO_BLOCK,
     MOST_SUSPECTS,
@@ -17,7 +18,6 @@
     RARE_RETELL_TIME,
     RETELL_TIME,
     SUSPICION_SECONDS,
-    TRY_TIME,
     CrashBook,
 )
 from dotterelpaddle.forwarding.telling import REPORTS_PER_UPDATE
@@ -136,7 +136,7 @@
     other.tell(router)
     assert not router.passes()
 
-    router.now += TRY_TIME + DELAY
+    router.now += MAX_ATTEMPT_SECONDS + DELAY
 
     assert router.passes()
 
