--- a/dotterelpaddle/forwarding/crashes.py
+++ b/dotterelpaddle/forwarding/crashes.py
@@ -42,7 +42,7 @@
 MAX_ATTEMPT_SECONDS = 3.0
 """Seconds for which a try counts as under way; a stream begins within them or waits."""
 
-TRY_WAIT = 1.0
+ATTEMPT_RETRY_AFTER_SECONDS = 1.0
 """Seconds after which a caller may come back while its request is tried elsewhere."""
 
 MOST_SUSPECTS = 256
@@ -167,10 +167,14 @@
             left = suspect.last_end + _block_time(ended=len(suspect.ended)) - now
             if left > 0.0 or tries:
                 raise self._blocked_error(
-                    suspect=suspect, tries=tries, wait=max(left, TRY_WAIT)
+                    suspect=suspect,
+                    tries=tries,
+                    wait=max(left, ATTEMPT_RETRY_AFTER_SECONDS),
                 )
         elif len(suspect.ended) < MIN_CRASHES_TO_BLOCK <= len(suspect.ended) + tries:
-            raise self._blocked_error(suspect=suspect, tries=tries, wait=TRY_WAIT)
+            raise self._blocked_error(
+                suspect=suspect, tries=tries, wait=ATTEMPT_RETRY_AFTER_SECONDS
+            )
 
     def begin_try(self, *, fingerprint: Fingerprint, endpoint: EndpointId) -> None:
         """Note that a suspect is sent to an endpoint, for the other routers."""
