--- a/dotterelpaddle/forwarding/crashes.py
+++ b/dotterelpaddle/forwarding/crashes.py
@@ -45,7 +45,7 @@
 ATTEMPT_RETRY_AFTER_SECONDS = 1.0
 """Seconds after which a caller may come back while its request is tried elsewhere."""
 
-MOST_SUSPECTS = 256
+MAX_SUSPECTS = 256
 """Requests that are remembered, 200 KB: some ends of endpoints with all they ran."""
 
 RETELL_TIME = 2.0
@@ -351,7 +351,7 @@
 
     def _bound(self) -> None:
         """Forget the least suspect, oldest first, beyond what may be kept."""
-        while len(self._suspects) > MOST_SUSPECTS:
+        while len(self._suspects) > MAX_SUSPECTS:
             least = min(
                 self._suspects,
                 key=lambda each: (
--- a/dotterelpaddle/tests/forwarding/test_crashes.py
+++ b/dotterelpaddle/tests/forwarding/test_crashes.py
@@ -11,9 +11,9 @@
 from dotterelpaddle.exceptions import RequestBlocked
 from dotterelpaddle.forwarding.crashes import (
     MAX_ATTEMPT_SECONDS,
+    MAX_SUSPECTS,
     MIN_BLOCK_SECONDS,
     MIN_CRASHES_TO_BLOCK,
-    MOST_SUSPECTS,
     MOST_TOLD,
     RARE_RETELL_TIME,
     RETELL_TIME,
@@ -237,10 +237,10 @@
 def test_memory_is_bounded_and_keeps_what_is_blocked(router: Router) -> None:
     """Guards against callers that push a blocked request out with others."""
     router.end("a", "b", "c")
-    for number in range(2 * MOST_SUSPECTS):
+    for number in range(2 * MAX_SUSPECTS):
         router.end("d", of=Fingerprint(f"other-{number}"))
 
-    assert router.book.suspects == MOST_SUSPECTS
+    assert router.book.suspects == MAX_SUSPECTS
     assert not router.passes()
 
 
