--- a/dotterelpaddle/forwarding/crashes.py
+++ b/dotterelpaddle/forwarding/crashes.py
@@ -48,7 +48,7 @@
 MAX_SUSPECTS = 256
 """Requests that are remembered, 200 KB: some ends of endpoints with all they ran."""
 
-RETELL_TIME = 2.0
+REPORT_INTERVAL_SECONDS = 2.0
 """Seconds until the ends under a request are told again if there are several, to
 routers that were cut off or have just started."""
 
@@ -385,7 +385,7 @@
 
 def _is_due(told: _Tellable, *, now: float) -> bool:
     """Tell whether something is news, or an end that was told a while ago."""
-    pause = RETELL_TIME if told.ends > 1 else RARE_RETELL_TIME
+    pause = REPORT_INTERVAL_SECONDS if told.ends > 1 else RARE_RETELL_TIME
     if told.kind is not NoteKind.ENDED:
         pause = float("inf")
     return told.seen.telling.is_due(now=now, pause=pause)
--- a/dotterelpaddle/tests/forwarding/test_crashes.py
+++ b/dotterelpaddle/tests/forwarding/test_crashes.py
@@ -16,7 +16,7 @@
     MIN_CRASHES_TO_BLOCK,
     MOST_TOLD,
     RARE_RETELL_TIME,
-    RETELL_TIME,
+    REPORT_INTERVAL_SECONDS,
     SUSPICION_SECONDS,
     CrashBook,
 )
@@ -261,7 +261,7 @@
         router.tell()
     assert router.tell() == 0
     late = Router()
-    late.now = router.now = router.now + RETELL_TIME
+    late.now = router.now = router.now + REPORT_INTERVAL_SECONDS
 
     router.tell(late)
 
@@ -346,7 +346,7 @@
     two.end("c", "d")
     if not cut:
         one.tell(two)
-    one.now = two.now = 100.0 + RETELL_TIME
+    one.now = two.now = 100.0 + REPORT_INTERVAL_SECONDS
     for sender, receiver in ((one, two), (two, one)):
         for _ in range(REPORTS_PER_UPDATE + 1):
             sender.tell(receiver)
