--- a/dotterelpaddle/forwarding/crashes.py
+++ b/dotterelpaddle/forwarding/crashes.py
@@ -52,7 +52,7 @@
 """Seconds until the ends under a request are told again if there are several, to
 routers that were cut off or have just started."""
 
-RARE_RETELL_TIME = 10.0
+SINGLE_CRASH_REPORT_INTERVAL_SECONDS = 10.0
 """The same of a single end; most of these are of requests that nobody sends again."""
 
 MOST_TOLD = 12
@@ -385,7 +385,11 @@
 
 def _is_due(told: _Tellable, *, now: float) -> bool:
     """Tell whether something is news, or an end that was told a while ago."""
-    pause = REPORT_INTERVAL_SECONDS if told.ends > 1 else RARE_RETELL_TIME
+    pause = (
+        REPORT_INTERVAL_SECONDS
+        if told.ends > 1
+        else SINGLE_CRASH_REPORT_INTERVAL_SECONDS
+    )
     if told.kind is not NoteKind.ENDED:
         pause = float("inf")
     return told.seen.telling.is_due(now=now, pause=pause)
--- a/dotterelpaddle/tests/forwarding/test_crashes.py
+++ b/dotterelpaddle/tests/forwarding/test_crashes.py
@@ -15,8 +15,8 @@
     MIN_BLOCK_SECONDS,
     MIN_CRASHES_TO_BLOCK,
     MOST_TOLD,
-    RARE_RETELL_TIME,
     REPORT_INTERVAL_SECONDS,
+    SINGLE_CRASH_REPORT_INTERVAL_SECONDS,
     SUSPICION_SECONDS,
     CrashBook,
 )
@@ -312,7 +312,7 @@
 
     def teardown(self) -> None:
         for _ in range(3):
-            self._pass(seconds=RARE_RETELL_TIME)
+            self._pass(seconds=SINGLE_CRASH_REPORT_INTERVAL_SECONDS)
             for _ in range(REPORTS_PER_UPDATE + 1):
                 for sender in range(3):
                     self._tell(sender=sender, lost=set())
