--- a/dotterelpaddle/forwarding/crashes.py
+++ b/dotterelpaddle/forwarding/crashes.py
@@ -55,7 +55,7 @@
 SINGLE_CRASH_REPORT_INTERVAL_SECONDS = 10.0
 """The same of a single end; most of these are of requests that nobody sends again."""
 
-MOST_TOLD = 12
+MAX_NOTES_PER_REPORT = 12
 """Notes in one report, 0.7 KB."""
 
 
@@ -233,7 +233,7 @@
         due.sort(
             key=lambda each: (each.ends, each.seen.telling.reports_left), reverse=True
         )
-        told = due[:MOST_TOLD]
+        told = due[:MAX_NOTES_PER_REPORT]
         for each in told:
             each.seen.telling.mark_reported(now=now)
         return [each.note(now=now) for each in told]
--- a/dotterelpaddle/tests/forwarding/test_crashes.py
+++ b/dotterelpaddle/tests/forwarding/test_crashes.py
@@ -11,10 +11,10 @@
 from dotterelpaddle.exceptions import RequestBlocked
 from dotterelpaddle.forwarding.crashes import (
     MAX_ATTEMPT_SECONDS,
+    MAX_NOTES_PER_REPORT,
     MAX_SUSPECTS,
     MIN_BLOCK_SECONDS,
     MIN_CRASHES_TO_BLOCK,
-    MOST_TOLD,
     REPORT_INTERVAL_SECONDS,
     SINGLE_CRASH_REPORT_INTERVAL_SECONDS,
     SUSPICION_SECONDS,
@@ -245,12 +245,12 @@
 
 
 def test_what_is_blocked_is_told_first_and_reports_stay_small(router: Router) -> None:
-    for number in range(5 * MOST_TOLD):
+    for number in range(5 * MAX_NOTES_PER_REPORT):
         router.end("d", of=Fingerprint(f"other-{number}"))
     router.end("a", "b", "c")
     other = Router()
 
-    assert router.tell(other) == MOST_TOLD
+    assert router.tell(other) == MAX_NOTES_PER_REPORT
     assert not other.passes()
 
 
