--- a/dotterelpaddle/forwarding/crashes.py
+++ b/dotterelpaddle/forwarding/crashes.py
@@ -93,7 +93,7 @@
 
     at: float
     begun: bool = False
-    telling: ReportState = field(default_factory=ReportState)
+    report_state: ReportState = field(default_factory=ReportState)
 
 
 @dataclass(kw_only=True, slots=True)
@@ -214,7 +214,7 @@
                 if pass_on
                 else ReportState(reports_left=0, reported_at=now)
             )
-            seen = _Seen(at=now - note.age, begun=note.begun, telling=telling)
+            seen = _Seen(at=now - note.age, begun=note.begun, report_state=telling)
             match note.kind:
                 case NoteKind.ENDED if note.endpoint:
                     self._take_in_end(note.fingerprint, note.endpoint, seen)
@@ -231,11 +231,12 @@
         self._forget(now=now)
         due = [each for each in self._all_seen() if _is_due(each, now=now)]
         due.sort(
-            key=lambda each: (each.ends, each.seen.telling.reports_left), reverse=True
+            key=lambda each: (each.ends, each.seen.report_state.reports_left),
+            reverse=True,
         )
         told = due[:MAX_NOTES_PER_REPORT]
         for each in told:
-            each.seen.telling.mark_reported(now=now)
+            each.seen.report_state.mark_reported(now=now)
         return [each.note(now=now) for each in told]
 
     def _take_in_end(
@@ -244,7 +245,7 @@
         suspect = self._suspects.setdefault(fingerprint, _Suspect())
         if suspect.served is not None and suspect.served.at >= seen.at:
             # Whoever still tells of it has not heard of the answer.
-            suspect.served.telling.report_again()
+            suspect.served.report_state.report_again()
             return
         if endpoint in suspect.ended:
             return
@@ -392,7 +393,7 @@
     )
     if told.kind is not NoteKind.ENDED:
         pause = float("inf")
-    return told.seen.telling.is_due(now=now, pause=pause)
+    return told.seen.report_state.is_due(now=now, pause=pause)
 
 
 def _block_time(*, ended: int) -> float:
