--- a/dotterelpaddle/forwarding/crashes.py
+++ b/dotterelpaddle/forwarding/crashes.py
@@ -100,14 +100,14 @@
 class _Suspect:
     """What is known of one request."""
 
-    ended: dict[EndpointId, _Seen] = field(default_factory=dict)
+    crashes: dict[EndpointId, _Seen] = field(default_factory=dict)
     tried: dict[EndpointId, _Seen] = field(default_factory=dict)
     served: _Seen | None = None
 
     @property
     def last_end(self) -> float:
         """When the last endpoint ended under it."""
-        return max((seen.at for seen in self.ended.values()), default=float("-inf"))
+        return max((seen.at for seen in self.crashes.values()), default=float("-inf"))
 
     @property
     def latest(self) -> float:
@@ -119,13 +119,13 @@
     def suspicion(self) -> Suspicion:
         """What speaks for it as the cause of the ends."""
         return Suspicion(
-            ended=frozenset(self.ended),
-            begun=sum(seen.begun for seen in self.ended.values()),
+            ended=frozenset(self.crashes),
+            begun=sum(seen.begun for seen in self.crashes.values()),
         )
 
     def forget_before(self, *, at: float) -> None:
         """Forget what was seen until a moment."""
-        for seen in (self.ended, self.tried):
+        for seen in (self.crashes, self.tried):
             for endpoint in [each for each in seen if seen[each].at <= at]:
                 del seen[endpoint]
 
@@ -145,7 +145,7 @@
     @property
     def suspects(self) -> int:
         """Requests under which an endpoint ended of late."""
-        return sum(bool(suspect.ended) for suspect in self._suspects.values())
+        return sum(bool(suspect.crashes) for suspect in self._suspects.values())
 
     @property
     def blocked(self) -> int:
@@ -159,19 +159,21 @@
             RequestBlocked: If it may not be sent to an endpoint now.
         """
         suspect = self._suspects.get(fingerprint)
-        if suspect is None or not suspect.ended:
+        if suspect is None or not suspect.crashes:
             return
         now = self._clock()
         tries = self._tries(suspect)
         if fingerprint in self._causes():
-            left = suspect.last_end + _block_time(ended=len(suspect.ended)) - now
+            left = suspect.last_end + _block_time(ended=len(suspect.crashes)) - now
             if left > 0.0 or tries:
                 raise self._blocked_error(
                     suspect=suspect,
                     tries=tries,
                     wait=max(left, ATTEMPT_RETRY_AFTER_SECONDS),
                 )
-        elif len(suspect.ended) < MIN_CRASHES_TO_BLOCK <= len(suspect.ended) + tries:
+        elif (
+            len(suspect.crashes) < MIN_CRASHES_TO_BLOCK <= len(suspect.crashes) + tries
+        ):
             raise self._blocked_error(
                 suspect=suspect, tries=tries, wait=ATTEMPT_RETRY_AFTER_SECONDS
             )
@@ -179,7 +181,7 @@
     def begin_try(self, *, fingerprint: Fingerprint, endpoint: EndpointId) -> None:
         """Note that a suspect is sent to an endpoint, for the other routers."""
         suspect = self._suspects.get(fingerprint)
-        if suspect is not None and suspect.ended:
+        if suspect is not None and suspect.crashes:
             suspect.tried[endpoint] = _Seen(at=self._clock())
 
     def end_try(self, *, fingerprint: Fingerprint, endpoint: EndpointId) -> None:
@@ -197,7 +199,7 @@
     def note_served(self, *, fingerprint: Fingerprint) -> None:
         """Note that an endpoint answered a request and did not end."""
         suspect = self._suspects.get(fingerprint)
-        if suspect is not None and suspect.ended:
+        if suspect is not None and suspect.crashes:
             self._acquit(fingerprint, suspect, _Seen(at=self._clock()))
 
     def hear(self, *, notes: Iterable[CrashNote], pass_on: bool) -> None:
@@ -247,9 +249,9 @@
             # Whoever still tells of it has not heard of the answer.
             suspect.served.report_state.report_again()
             return
-        if endpoint in suspect.ended:
+        if endpoint in suspect.crashes:
             return
-        suspect.ended[endpoint] = seen
+        suspect.crashes[endpoint] = seen
         suspect.tried.pop(endpoint, None)
         self._known_causes = None
         log.info(
@@ -258,7 +260,7 @@
             endpoint=endpoint,
             seconds_ago=round(self._clock() - seen.at, 3),
             begun=seen.begun,
-            ended=len(suspect.ended),
+            ended=len(suspect.crashes),
         )
         self._bound()
 
@@ -267,7 +269,7 @@
     ) -> None:
         suspect = self._suspects.setdefault(fingerprint, _Suspect())
         is_old = suspect.served is not None and suspect.served.at >= seen.at
-        if not is_old and endpoint not in suspect.ended:
+        if not is_old and endpoint not in suspect.crashes:
             suspect.tried.setdefault(endpoint, seen)
         self._bound()
 
@@ -284,7 +286,7 @@
     def _tries(self, suspect: _Suspect) -> int:
         oldest = self._clock() - MAX_ATTEMPT_SECONDS
         return sum(
-            seen.at > oldest and endpoint not in suspect.ended
+            seen.at > oldest and endpoint not in suspect.crashes
             for endpoint, seen in suspect.tried.items()
         )
 
@@ -304,7 +306,7 @@
         self, *, suspect: _Suspect, tries: int, wait: float
     ) -> RequestBlocked:
         now = self._clock()
-        ends = sorted(suspect.ended.items(), key=lambda item: item[1].at)
+        ends = sorted(suspect.crashes.items(), key=lambda item: item[1].at)
         told = ", ".join(f"{name} {now - seen.at:.1f} s ago" for name, seen in ends)
         return RequestBlocked(
             f"{len(ends)} endpoints ended under this request ({told}) and {tries} "
@@ -315,7 +317,7 @@
     def _all_seen(self) -> Iterator[_Tellable]:
         for fingerprint, suspect in self._suspects.items():
             for kind, all_seen in (
-                (NoteKind.ENDED, suspect.ended),
+                (NoteKind.ENDED, suspect.crashes),
                 (NoteKind.TRIED, suspect.tried),
             ):
                 for endpoint, seen in all_seen.items():
@@ -324,7 +326,7 @@
                         fingerprint=fingerprint,
                         endpoint=endpoint,
                         seen=seen,
-                        ends=len(suspect.ended),
+                        ends=len(suspect.crashes),
                     )
             if suspect.served is not None:
                 yield _Tellable(
@@ -332,7 +334,7 @@
                     fingerprint=fingerprint,
                     endpoint=None,
                     seen=suspect.served,
-                    ends=len(suspect.ended),
+                    ends=len(suspect.crashes),
                 )
 
     def _forget(self, *, now: float) -> None:
@@ -340,7 +342,7 @@
         for fingerprint, suspect in tuple(self._suspects.items()):
             kept = SUSPICION_SECONDS
             if fingerprint in causes:
-                kept += _block_time(ended=len(suspect.ended))
+                kept += _block_time(ended=len(suspect.crashes))
             suspect.tried = {
                 endpoint: seen
                 for endpoint, seen in suspect.tried.items()
@@ -356,7 +358,7 @@
             least = min(
                 self._suspects,
                 key=lambda each: (
-                    len(self._suspects[each].ended),
+                    len(self._suspects[each].crashes),
                     self._suspects[each].latest,
                 ),
             )
--- a/dotterelpaddle/tests/forwarding/test_crashes.py
+++ b/dotterelpaddle/tests/forwarding/test_crashes.py
@@ -307,7 +307,9 @@
     @invariant()
     def few_ends_block_little(self) -> None:
         for router in self.routers:
-            ends = sum(len(suspect.ended) for suspect in router.book._suspects.values())
+            ends = sum(
+                len(suspect.crashes) for suspect in router.book._suspects.values()
+            )
             assert router.book.blocked <= ends // MIN_CRASHES_TO_BLOCK
 
     def teardown(self) -> None:
