--- a/dotterelpaddle/forwarding/crashes.py
+++ b/dotterelpaddle/forwarding/crashes.py
@@ -101,7 +101,7 @@
     """What is known of one request."""
 
     crashes: dict[EndpointId, _Seen] = field(default_factory=dict)
-    tried: dict[EndpointId, _Seen] = field(default_factory=dict)
+    attempts: dict[EndpointId, _Seen] = field(default_factory=dict)
     served: _Seen | None = None
 
     @property
@@ -125,7 +125,7 @@
 
     def forget_before(self, *, at: float) -> None:
         """Forget what was seen until a moment."""
-        for seen in (self.crashes, self.tried):
+        for seen in (self.crashes, self.attempts):
             for endpoint in [each for each in seen if seen[each].at <= at]:
                 del seen[endpoint]
 
@@ -182,13 +182,13 @@
         """Note that a suspect is sent to an endpoint, for the other routers."""
         suspect = self._suspects.get(fingerprint)
         if suspect is not None and suspect.crashes:
-            suspect.tried[endpoint] = _Seen(at=self._clock())
+            suspect.attempts[endpoint] = _Seen(at=self._clock())
 
     def end_try(self, *, fingerprint: Fingerprint, endpoint: EndpointId) -> None:
         """Note that a try came to an end, and its endpoint did not."""
         suspect = self._suspects.get(fingerprint)
         if suspect is not None:
-            suspect.tried.pop(endpoint, None)
+            suspect.attempts.pop(endpoint, None)
 
     def note_ended(
         self, *, fingerprint: Fingerprint, endpoint: EndpointId, at: float, begun: bool
@@ -252,7 +252,7 @@
         if endpoint in suspect.crashes:
             return
         suspect.crashes[endpoint] = seen
-        suspect.tried.pop(endpoint, None)
+        suspect.attempts.pop(endpoint, None)
         self._known_causes = None
         log.info(
             "request_suspected",
@@ -270,7 +270,7 @@
         suspect = self._suspects.setdefault(fingerprint, _Suspect())
         is_old = suspect.served is not None and suspect.served.at >= seen.at
         if not is_old and endpoint not in suspect.crashes:
-            suspect.tried.setdefault(endpoint, seen)
+            suspect.attempts.setdefault(endpoint, seen)
         self._bound()
 
     def _acquit(self, fingerprint: Fingerprint, suspect: _Suspect, seen: _Seen) -> None:
@@ -287,7 +287,7 @@
         oldest = self._clock() - MAX_ATTEMPT_SECONDS
         return sum(
             seen.at > oldest and endpoint not in suspect.crashes
-            for endpoint, seen in suspect.tried.items()
+            for endpoint, seen in suspect.attempts.items()
         )
 
     def _causes(self) -> frozenset[Fingerprint]:
@@ -318,7 +318,7 @@
         for fingerprint, suspect in self._suspects.items():
             for kind, all_seen in (
                 (NoteKind.ENDED, suspect.crashes),
-                (NoteKind.TRIED, suspect.tried),
+                (NoteKind.TRIED, suspect.attempts),
             ):
                 for endpoint, seen in all_seen.items():
                     yield _Tellable(
@@ -343,12 +343,12 @@
             kept = SUSPICION_SECONDS
             if fingerprint in causes:
                 kept += _block_time(ended=len(suspect.crashes))
-            suspect.tried = {
+            suspect.attempts = {
                 endpoint: seen
-                for endpoint, seen in suspect.tried.items()
+                for endpoint, seen in suspect.attempts.items()
                 if now - seen.at <= MAX_ATTEMPT_SECONDS
             }
-            if now - suspect.latest > kept and not suspect.tried:
+            if now - suspect.latest > kept and not suspect.attempts:
                 del self._suspects[fingerprint]
                 self._known_causes = None
 
