--- a/dotterelpaddle/forwarding/crashes.py
+++ b/dotterelpaddle/forwarding/crashes.py
@@ -105,7 +105,7 @@
     served: _Seen | None = None
 
     @property
-    def last_end(self) -> float:
+    def last_crash_at(self) -> float:
         """When the last endpoint ended under it."""
         return max((seen.at for seen in self.crashes.values()), default=float("-inf"))
 
@@ -113,7 +113,7 @@
     def latest(self) -> float:
         """When anything was last seen of it."""
         served = self.served.at if self.served is not None else float("-inf")
-        return max(self.last_end, served)
+        return max(self.last_crash_at, served)
 
     @property
     def suspicion(self) -> Suspicion:
@@ -164,7 +164,7 @@
         now = self._clock()
         tries = self._tries(suspect)
         if fingerprint in self._causes():
-            left = suspect.last_end + _block_time(ended=len(suspect.crashes)) - now
+            left = suspect.last_crash_at + _block_time(ended=len(suspect.crashes)) - now
             if left > 0.0 or tries:
                 raise self._blocked_error(
                     suspect=suspect,
