--- a/dotterelpaddle/forwarding/crashes.py
+++ b/dotterelpaddle/forwarding/crashes.py
@@ -110,7 +110,7 @@
         return max((seen.at for seen in self.crashes.values()), default=float("-inf"))
 
     @property
-    def latest(self) -> float:
+    def last_seen_at(self) -> float:
         """When anything was last seen of it."""
         served = self.served.at if self.served is not None else float("-inf")
         return max(self.last_crash_at, served)
@@ -348,7 +348,7 @@
                 for endpoint, seen in suspect.attempts.items()
                 if now - seen.at <= MAX_ATTEMPT_SECONDS
             }
-            if now - suspect.latest > kept and not suspect.attempts:
+            if now - suspect.last_seen_at > kept and not suspect.attempts:
                 del self._suspects[fingerprint]
                 self._known_causes = None
 
@@ -359,7 +359,7 @@
                 self._suspects,
                 key=lambda each: (
                     len(self._suspects[each].crashes),
-                    self._suspects[each].latest,
+                    self._suspects[each].last_seen_at,
                 ),
             )
             del self._suspects[least]
