--- a/dotterelpaddle/forwarding/crash_guard.py
+++ b/dotterelpaddle/forwarding/crash_guard.py
@@ -14,7 +14,7 @@
     from collections.abc import Iterator
 
     from dotterelpaddle.clock import Clock
-    from dotterelpaddle.forwarding.crashes import CrashBook
+    from dotterelpaddle.forwarding.crashes import CrashTracker
     from dotterelpaddle.forwarding.endings import Endings
     from dotterelpaddle.forwarding.exchange import ForwardExchange
     from dotterelpaddle.forwarding.metrics import ForwardMetrics
@@ -42,7 +42,7 @@
     def __init__(
         self,
         *,
-        crashes: CrashBook,
+        crashes: CrashTracker,
         endings: Endings,
         metrics: ForwardMetrics,
         clock: Clock,
--- a/dotterelpaddle/forwarding/crashes.py
+++ b/dotterelpaddle/forwarding/crashes.py
@@ -130,7 +130,7 @@
                 del seen[endpoint]
 
 
-class CrashBook:
+class CrashTracker:
     """Remembers under which requests endpoints ended, and blocks the cause of it.
 
     Args:
--- a/dotterelpaddle/forwarding/endings.py
+++ b/dotterelpaddle/forwarding/endings.py
@@ -17,7 +17,7 @@
 
 if TYPE_CHECKING:
     from dotterelpaddle.clock import Clock
-    from dotterelpaddle.forwarding.crashes import CrashBook
+    from dotterelpaddle.forwarding.crashes import CrashTracker
     from dotterelpaddle.forwarding.leaving import LeavingEndpoints
     from dotterelpaddle.forwarding.model import EndpointEntry
     from dotterelpaddle.forwarding.reachability import Reachability
@@ -67,7 +67,7 @@
         *,
         backend: LinkedBackend,
         reachability: Reachability,
-        crashes: CrashBook,
+        crashes: CrashTracker,
         leaving: LeavingEndpoints,
         clock: Clock,
     ) -> None:
--- a/dotterelpaddle/forwarding/metrics.py
+++ b/dotterelpaddle/forwarding/metrics.py
@@ -12,7 +12,7 @@
 
 if TYPE_CHECKING:
     from dotterelpaddle.forwarding.choice import Choice
-    from dotterelpaddle.forwarding.crashes import CrashBook
+    from dotterelpaddle.forwarding.crashes import CrashTracker
     from dotterelpaddle.forwarding.exchange import ForwardExchange
     from dotterelpaddle.forwarding.follower import Follower
     from dotterelpaddle.forwarding.loads import LoadTracker
@@ -120,7 +120,7 @@
     view: FleetView
     loads: LoadTracker
     repeats: SharedRepeats
-    crashes: CrashBook
+    crashes: CrashTracker
     directory: PeerDirectory
     follower: Follower
 
--- a/dotterelpaddle/forwarding/parts.py
+++ b/dotterelpaddle/forwarding/parts.py
@@ -12,7 +12,7 @@
 from dotterelpaddle.forwarding.client import ForwardClient
 from dotterelpaddle.forwarding.cold import ColdEndpoints
 from dotterelpaddle.forwarding.crash_guard import CrashGuard
-from dotterelpaddle.forwarding.crashes import CrashBook
+from dotterelpaddle.forwarding.crashes import CrashTracker
 from dotterelpaddle.forwarding.endings import Endings
 from dotterelpaddle.forwarding.filters import FindRoute, Forward, KeepDeadline
 from dotterelpaddle.forwarding.follower import Follower
@@ -106,7 +106,7 @@
     quiet: EndpointBackoffs
     cold: ColdEndpoints
     caches: CacheMap
-    crashes: CrashBook
+    crashes: CrashTracker
     repeats: SharedRepeats
     directory: PeerDirectory
 
@@ -369,7 +369,7 @@
             clock=clock,
         ),
         caches=caches,
-        crashes=CrashBook(clock=clock),
+        crashes=CrashTracker(clock=clock),
         repeats=SharedRepeats(
             limits=settings.retry_limits,
             shares=shares,
--- a/dotterelpaddle/peers/exchange.py
+++ b/dotterelpaddle/peers/exchange.py
@@ -27,7 +27,7 @@
 
     from dotterelpaddle.address import Address
     from dotterelpaddle.forwarding.caches import CacheMap
-    from dotterelpaddle.forwarding.crashes import CrashBook
+    from dotterelpaddle.forwarding.crashes import CrashTracker
     from dotterelpaddle.forwarding.follower import Follower
     from dotterelpaddle.forwarding.loads import LoadTracker
     from dotterelpaddle.forwarding.repeats import SharedRepeats
@@ -96,7 +96,7 @@
         repeats: SharedRepeats,
         shares: TotalsTracker,
         caches: CacheMap,
-        crashes: CrashBook,
+        crashes: CrashTracker,
         directory: PeerDirectory,
         plan: ReportPlan,
         word: PeersWord,
--- a/dotterelpaddle/tests/forwarding/test_crashes.py
+++ b/dotterelpaddle/tests/forwarding/test_crashes.py
@@ -18,7 +18,7 @@
     REPORT_INTERVAL_SECONDS,
     SINGLE_CRASH_REPORT_INTERVAL_SECONDS,
     SUSPICION_SECONDS,
-    CrashBook,
+    CrashTracker,
 )
 from dotterelpaddle.forwarding.telling import REPORTS_PER_UPDATE
 from dotterelpaddle.ids import EndpointId, Fingerprint
@@ -33,7 +33,7 @@
 
     def __init__(self) -> None:
         self.now = 100.0
-        self.book = CrashBook(clock=lambda: self.now)
+        self.book = CrashTracker(clock=lambda: self.now)
 
     def end(self, *names: str, of: Fingerprint = CULPRIT, begun: bool = False) -> None:
         for name in names:
--- a/dotterelpaddle/tests/forwarding/test_endings.py
+++ b/dotterelpaddle/tests/forwarding/test_endings.py
@@ -12,7 +12,7 @@
 from dotterelpaddle.address import Address
 from dotterelpaddle.clock import monotonic
 from dotterelpaddle.exceptions import RequestBlocked
-from dotterelpaddle.forwarding.crashes import MIN_CRASHES_TO_BLOCK, CrashBook
+from dotterelpaddle.forwarding.crashes import MIN_CRASHES_TO_BLOCK, CrashTracker
 from dotterelpaddle.forwarding.endings import Endings
 from dotterelpaddle.forwarding.model import EndpointState
 from dotterelpaddle.forwarding.reachability import Reachability
@@ -37,7 +37,7 @@
 
     def __init__(self) -> None:
         backend = LinkedBackend(links=Links())
-        self.crashes = CrashBook(clock=monotonic)
+        self.crashes = CrashTracker(clock=monotonic)
         view = FleetView(clock=monotonic)
         self.leaving = view.leaving
         self.reachability = Reachability(
