--- a/dotterelpaddle/forwarding/crashes.py
+++ b/dotterelpaddle/forwarding/crashes.py
@@ -143,7 +143,7 @@
         self._known_causes: frozenset[Fingerprint] | None = None
 
     @property
-    def suspects(self) -> int:
+    def suspect_count(self) -> int:
         """Requests under which an endpoint ended of late."""
         return sum(bool(suspect.crashes) for suspect in self._suspects.values())
 
--- a/dotterelpaddle/forwarding/metrics.py
+++ b/dotterelpaddle/forwarding/metrics.py
@@ -171,7 +171,7 @@
         for what, age in ages.items():
             self._age.set({"what": what}, age if math.isfinite(age) else math.nan)
         self._set_endpoints()
-        self._suspects.set({"state": "suspected"}, observed.crashes.suspects)
+        self._suspects.set({"state": "suspected"}, observed.crashes.suspect_count)
         self._suspects.set({"state": "blocked"}, observed.crashes.blocked)
         self._peers.set({}, len(observed.directory.alive))
         self._memory.set({}, _resident_bytes())
--- a/dotterelpaddle/tests/forwarding/test_crashes.py
+++ b/dotterelpaddle/tests/forwarding/test_crashes.py
@@ -240,7 +240,7 @@
     for number in range(2 * MAX_SUSPECTS):
         router.end("d", of=Fingerprint(f"other-{number}"))
 
-    assert router.book.suspects == MAX_SUSPECTS
+    assert router.book.suspect_count == MAX_SUSPECTS
     assert not router.passes()
 
 
--- a/dotterelpaddle/tests/forwarding/test_endings.py
+++ b/dotterelpaddle/tests/forwarding/test_endings.py
@@ -99,7 +99,7 @@
             looked.broke_off(address=Address(host="127.0.0.1", port=port))
             await until(lambda: not looked.endings._waiting)
 
-    assert looked.crashes.suspects == 0
+    assert looked.crashes.suspect_count == 0
 
 
 async def test_end_of_an_endpoint_whose_entry_says_it_leaves_says_nothing() -> None:
