--- a/dotterelpaddle/forwarding/crashes.py
+++ b/dotterelpaddle/forwarding/crashes.py
@@ -148,7 +148,7 @@
         return sum(bool(suspect.crashes) for suspect in self._suspects.values())
 
     @property
-    def blocked(self) -> int:
+    def blocked_count(self) -> int:
         """Requests that are blocked, or would be tried once more."""
         return len(self._causes())
 
--- a/dotterelpaddle/forwarding/metrics.py
+++ b/dotterelpaddle/forwarding/metrics.py
@@ -172,7 +172,7 @@
             self._age.set({"what": what}, age if math.isfinite(age) else math.nan)
         self._set_endpoints()
         self._suspects.set({"state": "suspected"}, observed.crashes.suspect_count)
-        self._suspects.set({"state": "blocked"}, observed.crashes.blocked)
+        self._suspects.set({"state": "blocked"}, observed.crashes.blocked_count)
         self._peers.set({}, len(observed.directory.alive))
         self._memory.set({}, _resident_bytes())
         return self._registry.render()
--- a/dotterelpaddle/tests/forwarding/test_crash_incident.py
+++ b/dotterelpaddle/tests/forwarding/test_crash_incident.py
@@ -130,7 +130,7 @@
     world, _ = _play(_crashes, seed=seed, engines=9, routers=3)
 
     books = [host.parts.state.crashes for host in world.hosts if host.parts]
-    assert [book.blocked for book in books] == [0, 0, 0]
+    assert [book.blocked_count for book in books] == [0, 0, 0]
 
 
 def test_nobody_is_refused_while_no_request_crashes_endpoints() -> None:
--- a/dotterelpaddle/tests/forwarding/test_crashes.py
+++ b/dotterelpaddle/tests/forwarding/test_crashes.py
@@ -310,7 +310,7 @@
             ends = sum(
                 len(suspect.crashes) for suspect in router.book._suspects.values()
             )
-            assert router.book.blocked <= ends // MIN_CRASHES_TO_BLOCK
+            assert router.book.blocked_count <= ends // MIN_CRASHES_TO_BLOCK
 
     def teardown(self) -> None:
         for _ in range(3):
