--- a/dotterelpaddle/forwarding/crash_guard.py
+++ b/dotterelpaddle/forwarding/crash_guard.py
@@ -87,7 +87,7 @@
         assert fingerprint is not None
         crashes, endpoint = self._crashes, entry.endpoint
         last_event = relay.last_event
-        crashes.begin_try(fingerprint=fingerprint, endpoint=endpoint)
+        crashes.begin_attempt(fingerprint=fingerprint, endpoint=endpoint)
         try:
             yield
         except FailedAnswer:
--- a/dotterelpaddle/forwarding/crashes.py
+++ b/dotterelpaddle/forwarding/crashes.py
@@ -178,7 +178,7 @@
                 suspect=suspect, tries=tries, wait=ATTEMPT_RETRY_AFTER_SECONDS
             )
 
-    def begin_try(self, *, fingerprint: Fingerprint, endpoint: EndpointId) -> None:
+    def begin_attempt(self, *, fingerprint: Fingerprint, endpoint: EndpointId) -> None:
         """Note that a suspect is sent to an endpoint, for the other routers."""
         suspect = self._suspects.get(fingerprint)
         if suspect is not None and suspect.crashes:
--- a/dotterelpaddle/tests/forwarding/test_crashes.py
+++ b/dotterelpaddle/tests/forwarding/test_crashes.py
@@ -49,7 +49,7 @@
         return True
 
     def try_at(self, name: str, of: Fingerprint = CULPRIT) -> None:
-        self.book.begin_try(fingerprint=of, endpoint=EndpointId(name))
+        self.book.begin_attempt(fingerprint=of, endpoint=EndpointId(name))
 
     def tell(self, *others: Router, pass_on: bool = False) -> int:
         notes = self.book.news()
