--- a/dotterelpaddle/forwarding/crash_guard.py
+++ b/dotterelpaddle/forwarding/crash_guard.py
@@ -96,7 +96,7 @@
         except AnswerBroken:
             output = relay.last_event != last_event
             if self._is_harmless(progress=progress, output=output):
-                crashes.end_try(fingerprint=fingerprint, endpoint=endpoint)
+                crashes.end_attempt(fingerprint=fingerprint, endpoint=endpoint)
             else:
                 self._endings.broke_off(
                     entry=entry,
@@ -106,7 +106,7 @@
                 )
             raise
         except BaseException:
-            crashes.end_try(fingerprint=fingerprint, endpoint=endpoint)
+            crashes.end_attempt(fingerprint=fingerprint, endpoint=endpoint)
             raise
         crashes.note_served(fingerprint=fingerprint)
 
--- a/dotterelpaddle/forwarding/crashes.py
+++ b/dotterelpaddle/forwarding/crashes.py
@@ -184,7 +184,7 @@
         if suspect is not None and suspect.crashes:
             suspect.attempts[endpoint] = _Seen(at=self._clock())
 
-    def end_try(self, *, fingerprint: Fingerprint, endpoint: EndpointId) -> None:
+    def end_attempt(self, *, fingerprint: Fingerprint, endpoint: EndpointId) -> None:
         """Note that a try came to an end, and its endpoint did not."""
         suspect = self._suspects.get(fingerprint)
         if suspect is not None:
--- a/dotterelpaddle/forwarding/endings.py
+++ b/dotterelpaddle/forwarding/endings.py
@@ -126,7 +126,7 @@
                     begun=each.begun,
                 )
             else:
-                self._crashes.end_try(
+                self._crashes.end_attempt(
                     fingerprint=each.fingerprint, endpoint=entry.endpoint
                 )
 
--- a/dotterelpaddle/tests/forwarding/test_crashes.py
+++ b/dotterelpaddle/tests/forwarding/test_crashes.py
@@ -144,7 +144,7 @@
 def test_try_that_came_to_nothing_does_not_count(router: Router) -> None:
     router.end("a", "b")
     router.try_at("c")
-    router.book.end_try(fingerprint=CULPRIT, endpoint=EndpointId("c"))
+    router.book.end_attempt(fingerprint=CULPRIT, endpoint=EndpointId("c"))
 
     assert router.passes()
 
