--- a/dotterelpaddle/forwarding/crashes.py
+++ b/dotterelpaddle/forwarding/crashes.py
@@ -190,7 +190,7 @@
         if suspect is not None:
             suspect.attempts.pop(endpoint, None)
 
-    def note_ended(
+    def record_crash(
         self, *, fingerprint: Fingerprint, endpoint: EndpointId, at: float, begun: bool
     ) -> None:
         """Note that an endpoint ended under a request."""
--- a/dotterelpaddle/forwarding/endings.py
+++ b/dotterelpaddle/forwarding/endings.py
@@ -119,7 +119,7 @@
             self._reachability.suspect(entry=entry, silent=False)
         for each in broken:
             if ended:
-                self._crashes.note_ended(
+                self._crashes.record_crash(
                     fingerprint=each.fingerprint,
                     endpoint=entry.endpoint,
                     at=each.at,
--- a/dotterelpaddle/tests/forwarding/test_crashes.py
+++ b/dotterelpaddle/tests/forwarding/test_crashes.py
@@ -37,7 +37,7 @@
 
     def end(self, *names: str, of: Fingerprint = CULPRIT, begun: bool = False) -> None:
         for name in names:
-            self.book.note_ended(
+            self.book.record_crash(
                 fingerprint=of, endpoint=EndpointId(name), at=self.now, begun=begun
             )
 
