--- a/dotterelpaddle/forwarding/crash_guard.py
+++ b/dotterelpaddle/forwarding/crash_guard.py
@@ -91,7 +91,7 @@
         try:
             yield
         except FailedAnswer:
-            crashes.note_served(fingerprint=fingerprint)
+            crashes.record_served(fingerprint=fingerprint)
             raise
         except AnswerBroken:
             output = relay.last_event != last_event
@@ -108,7 +108,7 @@
         except BaseException:
             crashes.end_attempt(fingerprint=fingerprint, endpoint=endpoint)
             raise
-        crashes.note_served(fingerprint=fingerprint)
+        crashes.record_served(fingerprint=fingerprint)
 
     def _is_harmless(self, *, progress: Progress, output: bool) -> bool:
         """Tell whether a run had brought output for so long that it did no harm."""
--- a/dotterelpaddle/forwarding/crashes.py
+++ b/dotterelpaddle/forwarding/crashes.py
@@ -196,7 +196,7 @@
         """Note that an endpoint ended under a request."""
         self._take_in_end(fingerprint, endpoint, _Seen(at=at, begun=begun))
 
-    def note_served(self, *, fingerprint: Fingerprint) -> None:
+    def record_served(self, *, fingerprint: Fingerprint) -> None:
         """Note that an endpoint answered a request and did not end."""
         suspect = self._suspects.get(fingerprint)
         if suspect is not None and suspect.crashes:
--- a/dotterelpaddle/tests/forwarding/test_crashes.py
+++ b/dotterelpaddle/tests/forwarding/test_crashes.py
@@ -104,7 +104,7 @@
     router.end("a", "b", "c")
     router.tell(other)
     other.now = router.now = 101.0
-    other.book.note_served(fingerprint=CULPRIT)
+    other.book.record_served(fingerprint=CULPRIT)
     other.tell(router)
 
     assert router.passes()
@@ -118,7 +118,7 @@
     late.end("c")
     router.end("a", "b")
     router.now = late.now = 101.0
-    router.book.note_served(fingerprint=CULPRIT)
+    router.book.record_served(fingerprint=CULPRIT)
     late.tell(router)
     router.end("d", "e")
 
@@ -297,7 +297,7 @@
     @rule(router=st.integers(0, 2), of=st.sampled_from([CULPRIT, OTHER]))
     def serve(self, router: int, of: Fingerprint) -> None:
         self._pass(seconds=0.1)
-        self.routers[router].book.note_served(fingerprint=of)
+        self.routers[router].book.record_served(fingerprint=of)
 
     @rule(sender=st.integers(0, 2), lost=st.sets(st.integers(0, 2)))
     def tell(self, sender: int, lost: set[int]) -> None:
