--- a/dotterelpaddle/forwarding/crashes.py
+++ b/dotterelpaddle/forwarding/crashes.py
@@ -202,7 +202,7 @@
         if suspect is not None and suspect.crashes:
             self._acquit(fingerprint, suspect, _Seen(at=self._clock()))
 
-    def hear(self, *, notes: Iterable[CrashNote], pass_on: bool) -> None:
+    def receive(self, *, notes: Iterable[CrashNote], pass_on: bool) -> None:
         """Take in what another router has seen.
 
         Args:
