--- a/dotterelpaddle/forwarding/crashes.py
+++ b/dotterelpaddle/forwarding/crashes.py
@@ -227,7 +227,7 @@
                     if suspect is not None:
                         self._acquit(note.fingerprint, suspect, seen)
 
-    def news(self) -> list[CrashNote]:
+    def take_due_notes(self) -> list[CrashNote]:
         """What to tell in the next report, what matters most first."""
         now = self._clock()
         self._forget(now=now)
--- a/dotterelpaddle/peers/exchange.py
+++ b/dotterelpaddle/peers/exchange.py
@@ -149,7 +149,7 @@
         names_due = self._rounds <= PEERS_EVERY or self._rounds % PEERS_EVERY == 1
         base = replace(
             self._report(control=control, names=self._names() if names_due else ()),
-            crashes=tuple(self._crashes.news()),
+            crashes=tuple(self._crashes.take_due_notes()),
             leaving_endpoints=self._view.leaving.take_due_notices(),
         )
         uses = {
--- a/dotterelpaddle/tests/forwarding/test_crashes.py
+++ b/dotterelpaddle/tests/forwarding/test_crashes.py
@@ -52,7 +52,7 @@
         self.book.begin_attempt(fingerprint=of, endpoint=EndpointId(name))
 
     def tell(self, *others: Router, pass_on: bool = False) -> int:
-        notes = self.book.news()
+        notes = self.book.take_due_notes()
         for other in others:
             heard = [replace(note, age=note.age + DELAY) for note in notes]
             other.book.receive(notes=heard, pass_on=pass_on)
@@ -187,7 +187,7 @@
 def test_ends_are_forgotten_after_a_while(router: Router) -> None:
     router.end("a", "b")
     router.now += SUSPICION_SECONDS + 1.0
-    router.book.news()
+    router.book.take_due_notes()
     router.end("c")
 
     assert router.passes()
