--- a/dotterelpaddle/forwarding/crashes.py
+++ b/dotterelpaddle/forwarding/crashes.py
@@ -233,12 +233,12 @@
         self._forget(now=now)
         due = [each for each in self._all_seen() if _is_due(each, now=now)]
         due.sort(
-            key=lambda each: (each.ends, each.seen.report_state.reports_left),
+            key=lambda each: (each.ends, each.observation.report_state.reports_left),
             reverse=True,
         )
         told = due[:MAX_NOTES_PER_REPORT]
         for each in told:
-            each.seen.report_state.mark_reported(now=now)
+            each.observation.report_state.mark_reported(now=now)
         return [each.note(now=now) for each in told]
 
     def _take_in_end(
@@ -325,7 +325,7 @@
                         kind=kind,
                         fingerprint=fingerprint,
                         endpoint=endpoint,
-                        seen=seen,
+                        observation=seen,
                         ends=len(suspect.crashes),
                     )
             if suspect.served is not None:
@@ -333,7 +333,7 @@
                     kind=NoteKind.SERVED,
                     fingerprint=fingerprint,
                     endpoint=None,
-                    seen=suspect.served,
+                    observation=suspect.served,
                     ends=len(suspect.crashes),
                 )
 
@@ -372,7 +372,7 @@
     kind: NoteKind
     fingerprint: Fingerprint
     endpoint: EndpointId | None
-    seen: _Seen
+    observation: _Seen
     ends: int
 
     def note(self, *, now: float) -> CrashNote:
@@ -381,8 +381,8 @@
             kind=self.kind,
             fingerprint=self.fingerprint,
             endpoint=self.endpoint,
-            age=now - self.seen.at,
-            begun=self.seen.begun,
+            age=now - self.observation.at,
+            begun=self.observation.begun,
         )
 
 
@@ -395,7 +395,7 @@
     )
     if told.kind is not NoteKind.ENDED:
         pause = float("inf")
-    return told.seen.report_state.is_due(now=now, pause=pause)
+    return told.observation.report_state.is_due(now=now, pause=pause)
 
 
 def _block_time(*, ended: int) -> float:
