--- a/dotterelpaddle/forwarding/crashes.py
+++ b/dotterelpaddle/forwarding/crashes.py
@@ -233,7 +233,10 @@
         self._forget(now=now)
         due = [each for each in self._all_seen() if _is_due(each, now=now)]
         due.sort(
-            key=lambda each: (each.ends, each.observation.report_state.reports_left),
+            key=lambda each: (
+                each.crash_count,
+                each.observation.report_state.reports_left,
+            ),
             reverse=True,
         )
         told = due[:MAX_NOTES_PER_REPORT]
@@ -326,7 +329,7 @@
                         fingerprint=fingerprint,
                         endpoint=endpoint,
                         observation=seen,
-                        ends=len(suspect.crashes),
+                        crash_count=len(suspect.crashes),
                     )
             if suspect.served is not None:
                 yield _Tellable(
@@ -334,7 +337,7 @@
                     fingerprint=fingerprint,
                     endpoint=None,
                     observation=suspect.served,
-                    ends=len(suspect.crashes),
+                    crash_count=len(suspect.crashes),
                 )
 
     def _forget(self, *, now: float) -> None:
@@ -373,7 +376,7 @@
     fingerprint: Fingerprint
     endpoint: EndpointId | None
     observation: _Seen
-    ends: int
+    crash_count: int
 
     def note(self, *, now: float) -> CrashNote:
         """As other routers are told."""
@@ -390,7 +393,7 @@
     """Tell whether something is news, or an end that was told a while ago."""
     pause = (
         REPORT_INTERVAL_SECONDS
-        if told.ends > 1
+        if told.crash_count > 1
         else SINGLE_CRASH_REPORT_INTERVAL_SECONDS
     )
     if told.kind is not NoteKind.ENDED:
