--- a/dotterelpaddle/forwarding/crash_guard.py
+++ b/dotterelpaddle/forwarding/crash_guard.py
@@ -24,7 +24,7 @@
 
 log = get_logger(name=__name__)
 
-HARMLESS_TIME = 1.0
+HARMLESS_OUTPUT_SECONDS = 1.0
 """Seconds of output after which a run is not what ended its endpoint: a request that
 crashes endpoints does so as it begins to run."""
 
@@ -117,4 +117,4 @@
         if not output or progress.first_byte is None:
             return False
         begun_at = progress.begun_at + progress.first_byte
-        return self._clock() - begun_at >= HARMLESS_TIME
+        return self._clock() - begun_at >= HARMLESS_OUTPUT_SECONDS
