--- a/dotterelpaddle/forwarding/blame.py
+++ b/dotterelpaddle/forwarding/blame.py
@@ -16,17 +16,17 @@
     """What speaks for a request as the cause of endpoints' ends.
 
     Attributes:
-        ended: The endpoints that ended under it.
+        crashed_endpoints: The endpoints that ended under it.
         begun: At how many of them its answer had begun, and had brought nothing yet.
     """
 
-    ended: frozenset[EndpointId]
+    crashed_endpoints: frozenset[EndpointId]
     begun: int
 
     @property
     def weight(self) -> tuple[int, int]:
         """How much that is, to compare it with others."""
-        return len(self.ended), self.begun
+        return len(self.crashed_endpoints), self.begun
 
 
 def find_causes(
@@ -49,9 +49,9 @@
         suspicions.items(), key=lambda item: (item[1].weight, item[0]), reverse=True
     )
     for fingerprint, suspicion in ranked:
-        if len(suspicion.ended) < least:
+        if len(suspicion.crashed_endpoints) < least:
             break
-        if len(suspicion.ended - explained) >= least:
+        if len(suspicion.crashed_endpoints - explained) >= least:
             causes.add(fingerprint)
-            explained |= suspicion.ended
+            explained |= suspicion.crashed_endpoints
     return frozenset(causes)
--- a/dotterelpaddle/forwarding/crashes.py
+++ b/dotterelpaddle/forwarding/crashes.py
@@ -119,7 +119,7 @@
     def suspicion(self) -> Suspicion:
         """What speaks for it as the cause of the ends."""
         return Suspicion(
-            ended=frozenset(self.crashes),
+            crashed_endpoints=frozenset(self.crashes),
             begun=sum(seen.begun for seen in self.crashes.values()),
         )
 
