--- a/dotterelpaddle/forwarding/blame.py
+++ b/dotterelpaddle/forwarding/blame.py
@@ -17,16 +17,16 @@
 
     Attributes:
         crashed_endpoints: The endpoints that ended under it.
-        begun: At how many of them its answer had begun, and had brought nothing yet.
+        begun_count: At how many of them its answer had begun, and had brought nothing yet.
     """
 
     crashed_endpoints: frozenset[EndpointId]
-    begun: int
+    begun_count: int
 
     @property
     def weight(self) -> tuple[int, int]:
         """How much that is, to compare it with others."""
-        return len(self.crashed_endpoints), self.begun
+        return len(self.crashed_endpoints), self.begun_count
 
 
 def find_causes(
--- a/dotterelpaddle/forwarding/crashes.py
+++ b/dotterelpaddle/forwarding/crashes.py
@@ -120,7 +120,7 @@
         """What speaks for it as the cause of the ends."""
         return Suspicion(
             crashed_endpoints=frozenset(self.crashes),
-            begun=sum(seen.begun for seen in self.crashes.values()),
+            begun_count=sum(seen.begun for seen in self.crashes.values()),
         )
 
     def forget_before(self, *, at: float) -> None:
--- a/dotterelpaddle/tests/forwarding/test_blame.py
+++ b/dotterelpaddle/tests/forwarding/test_blame.py
@@ -14,7 +14,8 @@
 
 def _suspicion(names: str, begun: int = 0) -> Suspicion:
     return Suspicion(
-        crashed_endpoints=frozenset(EndpointId(each) for each in names), begun=begun
+        crashed_endpoints=frozenset(EndpointId(each) for each in names),
+        begun_count=begun,
     )
 
 
@@ -24,7 +25,9 @@
 ) -> None:
     """Guards against blame for streams that were sent on beside the cause."""
     suspicions = {
-        Fingerprint(f"other-{number}"): Suspicion(crashed_endpoints=ended, begun=0)
+        Fingerprint(f"other-{number}"): Suspicion(
+            crashed_endpoints=ended, begun_count=0
+        )
         for number, ended in enumerate(others)
     }
     suspicions[CULPRIT] = _suspicion("abcdefgh", begun=1)
@@ -38,7 +41,10 @@
 ) -> None:
     """Guards against routers that heard the same and block different requests."""
     named = [
-        (Fingerprint(f"request-{number}"), Suspicion(crashed_endpoints=each, begun=0))
+        (
+            Fingerprint(f"request-{number}"),
+            Suspicion(crashed_endpoints=each, begun_count=0),
+        )
         for number, each in enumerate(ends)
     ]
 
@@ -52,7 +58,9 @@
     ends: list[frozenset[EndpointId]],
 ) -> None:
     suspicions = {
-        Fingerprint(f"request-{number}"): Suspicion(crashed_endpoints=each, begun=0)
+        Fingerprint(f"request-{number}"): Suspicion(
+            crashed_endpoints=each, begun_count=0
+        )
         for number, each in enumerate(ends)
     }
     causes = find_causes(suspicions=suspicions, least=LEAST)
