--- a/dotterelpaddle/forwarding/blame.py
+++ b/dotterelpaddle/forwarding/blame.py
@@ -24,7 +24,7 @@
     begun_count: int
 
     @property
-    def weight(self) -> tuple[int, int]:
+    def rank(self) -> tuple[int, int]:
         """How much that is, to compare it with others."""
         return len(self.crashed_endpoints), self.begun_count
 
@@ -46,7 +46,7 @@
     explained: set[EndpointId] = set()
     causes = set()
     ranked = sorted(
-        suspicions.items(), key=lambda item: (item[1].weight, item[0]), reverse=True
+        suspicions.items(), key=lambda item: (item[1].rank, item[0]), reverse=True
     )
     for fingerprint, suspicion in ranked:
         if len(suspicion.crashed_endpoints) < least:
