--- a/dotterelpaddle/forwarding/homes.py
+++ b/dotterelpaddle/forwarding/homes.py
@@ -15,7 +15,7 @@
     from dotterelpaddle.forwarding.model import EndpointEntry
 
 
-def home_of(
+def preferred_endpoint(
     *, request: HasPrompt, candidates: Sequence[EndpointEntry], sharded: bool
 ) -> EndpointEntry:
     """The endpoint that all routers prefer for a request's deepest shared part.
--- a/dotterelpaddle/forwarding/placement.py
+++ b/dotterelpaddle/forwarding/placement.py
@@ -19,7 +19,7 @@
     SAMPLE_SIZE,
     load_bound,
 )
-from dotterelpaddle.forwarding.homes import home_of
+from dotterelpaddle.forwarding.homes import preferred_endpoint
 from dotterelpaddle.owners.shards import shard_entries
 
 if TYPE_CHECKING:
@@ -291,7 +291,7 @@
         ]
         if not within:
             return None
-        home = home_of(request=request, candidates=candidates, sharded=many)
+        home = preferred_endpoint(request=request, candidates=candidates, sharded=many)
         cached = self._cached.look_up(
             request=request, candidates=candidates, cached_at=cached_at
         )
