--- a/dotterelpaddle/forwarding/signs.py
+++ b/dotterelpaddle/forwarding/signs.py
@@ -13,7 +13,7 @@
     from dotterelpaddle.clock import Clock
     from dotterelpaddle.ids import EndpointId
 
-LIFE_TIME = 0.15
+MAX_SILENCE_SECONDS = 0.15
 """Seconds since the last bytes from an endpoint within which it counts as alive: one
 that decodes several streams sends something every 20 to 60 ms. One that was cut off
 or died is given up on this much later at most."""
@@ -64,7 +64,7 @@
             sent_at: When the request was sent.
         """
         signs = self._signs.get(endpoint)
-        if signs is None or self._clock() - signs.heard_at > LIFE_TIME:
+        if signs is None or self._clock() - signs.heard_at > MAX_SILENCE_SECONDS:
             return False
         return sum(each > sent_at for each in signs.begun) < OVERTAKEN
 
--- a/dotterelpaddle/tests/forwarding/test_signs.py
+++ b/dotterelpaddle/tests/forwarding/test_signs.py
@@ -11,7 +11,11 @@
 import pytest
 
 from dotterelpaddle.address import Address
-from dotterelpaddle.forwarding.signs import LIFE_TIME, OVERTAKEN, EndpointSigns
+from dotterelpaddle.forwarding.signs import (
+    MAX_SILENCE_SECONDS,
+    OVERTAKEN,
+    EndpointSigns,
+)
 from dotterelpaddle.ids import EndpointId
 from dotterelpaddle.links import Links
 from dotterelpaddle.network import LinkedStream
@@ -49,7 +53,7 @@
 def test_engine_that_sends_nothing_to_anybody_is_not_waited_for() -> None:
     world = World()
     world.signs.heard(endpoint=ENGINE)
-    world.now = LIFE_TIME + 0.01
+    world.now = MAX_SILENCE_SECONDS + 0.01
 
     assert not world.signs.is_slow(endpoint=ENGINE, sent_at=0.0)
 
