--- a/dotterelpaddle/forwarding/signs.py
+++ b/dotterelpaddle/forwarding/signs.py
@@ -18,7 +18,7 @@
 that decodes several streams sends something every 20 to 60 ms. One that was cut off
 or died is given up on this much later at most."""
 
-OVERTAKEN = 3
+MIN_OVERTAKING_ANSWERS = 3
 """Answers to later requests that must have begun before a request counts as lost.
 Shorter prompts and more urgent requests overtake one or two; an endpoint that loses a
 part of its requests goes on with the others."""
@@ -66,7 +66,7 @@
         signs = self._signs.get(endpoint)
         if signs is None or self._clock() - signs.heard_at > MAX_SILENCE_SECONDS:
             return False
-        return sum(each > sent_at for each in signs.begun) < OVERTAKEN
+        return sum(each > sent_at for each in signs.begun) < MIN_OVERTAKING_ANSWERS
 
     def keep(self, *, endpoints: frozenset[EndpointId]) -> None:
         """Forget all endpoints but some."""
--- a/dotterelpaddle/tests/forwarding/test_signs.py
+++ b/dotterelpaddle/tests/forwarding/test_signs.py
@@ -13,7 +13,7 @@
 from dotterelpaddle.address import Address
 from dotterelpaddle.forwarding.signs import (
     MAX_SILENCE_SECONDS,
-    OVERTAKEN,
+    MIN_OVERTAKING_ANSWERS,
     EndpointSigns,
 )
 from dotterelpaddle.ids import EndpointId
@@ -43,7 +43,7 @@
 def test_request_that_later_ones_overtook_is_lost() -> None:
     world = World()
     world.now = 1.0
-    for number in range(OVERTAKEN):
+    for number in range(MIN_OVERTAKING_ANSWERS):
         world.signs.begun(endpoint=ENGINE, sent_at=0.5 + number / 100)
 
     assert not world.signs.is_slow(endpoint=ENGINE, sent_at=0.4)
