--- a/dotterelpaddle/forwarding/signs.py
+++ b/dotterelpaddle/forwarding/signs.py
@@ -23,7 +23,7 @@
 Shorter prompts and more urgent requests overtake one or two; an endpoint that loses a
 part of its requests goes on with the others."""
 
-REMEMBERED = 8
+MAX_REMEMBERED_ANSWERS = 8
 """Answers of one endpoint whose requests' times are remembered."""
 
 
@@ -32,7 +32,7 @@
 
     def __init__(self) -> None:
         self.heard_at = float("-inf")
-        self.begun: deque[float] = deque(maxlen=REMEMBERED)
+        self.begun: deque[float] = deque(maxlen=MAX_REMEMBERED_ANSWERS)
 
 
 class EndpointSigns:
