--- a/dotterelpaddle/forwarding/signs.py
+++ b/dotterelpaddle/forwarding/signs.py
@@ -31,7 +31,7 @@
     """What was seen of one endpoint."""
 
     def __init__(self) -> None:
-        self.heard_at = float("-inf")
+        self.last_bytes_at = float("-inf")
         self.begun: deque[float] = deque(maxlen=MAX_REMEMBERED_ANSWERS)
 
 
@@ -48,12 +48,12 @@
 
     def heard(self, *, endpoint: EndpointId) -> None:
         """Note that some bytes came from an endpoint."""
-        self._of(endpoint).heard_at = self._clock()
+        self._of(endpoint).last_bytes_at = self._clock()
 
     def begun(self, *, endpoint: EndpointId, sent_at: float) -> None:
         """Note that the answer to a request that was sent at some time began."""
         signs = self._of(endpoint)
-        signs.heard_at = self._clock()
+        signs.last_bytes_at = self._clock()
         signs.begun.append(sent_at)
 
     def is_slow(self, *, endpoint: EndpointId, sent_at: float) -> bool:
@@ -64,7 +64,7 @@
             sent_at: When the request was sent.
         """
         signs = self._signs.get(endpoint)
-        if signs is None or self._clock() - signs.heard_at > MAX_SILENCE_SECONDS:
+        if signs is None or self._clock() - signs.last_bytes_at > MAX_SILENCE_SECONDS:
             return False
         return sum(each > sent_at for each in signs.begun) < MIN_OVERTAKING_ANSWERS
 
