--- a/dotterelpaddle/forwarding/signs.py
+++ b/dotterelpaddle/forwarding/signs.py
@@ -32,7 +32,7 @@
 
     def __init__(self) -> None:
         self.last_bytes_at = float("-inf")
-        self.begun: deque[float] = deque(maxlen=MAX_REMEMBERED_ANSWERS)
+        self.answered_sent_at: deque[float] = deque(maxlen=MAX_REMEMBERED_ANSWERS)
 
 
 class EndpointSigns:
@@ -54,7 +54,7 @@
         """Note that the answer to a request that was sent at some time began."""
         signs = self._of(endpoint)
         signs.last_bytes_at = self._clock()
-        signs.begun.append(sent_at)
+        signs.answered_sent_at.append(sent_at)
 
     def is_slow(self, *, endpoint: EndpointId, sent_at: float) -> bool:
         """Tell whether an unanswered request waits because the endpoint is slow.
@@ -66,7 +66,10 @@
         signs = self._signs.get(endpoint)
         if signs is None or self._clock() - signs.last_bytes_at > MAX_SILENCE_SECONDS:
             return False
-        return sum(each > sent_at for each in signs.begun) < MIN_OVERTAKING_ANSWERS
+        return (
+            sum(each > sent_at for each in signs.answered_sent_at)
+            < MIN_OVERTAKING_ANSWERS
+        )
 
     def keep(self, *, endpoints: frozenset[EndpointId]) -> None:
         """Forget all endpoints but some."""
