--- a/dotterelpaddle/forwarding/client.py
+++ b/dotterelpaddle/forwarding/client.py
@@ -36,7 +36,7 @@
     )
     from dotterelpaddle.forwarding.model import EndpointEntry
     from dotterelpaddle.forwarding.notices import EndpointNotices
-    from dotterelpaddle.forwarding.signs import EndpointSigns
+    from dotterelpaddle.forwarding.signs import EndpointLiveness
     from dotterelpaddle.ids import EndpointId
     from dotterelpaddle.network import LinkedBackend
 
@@ -96,7 +96,7 @@
         response: httpcore.Response,
         connection: Connection,
         call: ForwardCall,
-        signs: EndpointSigns,
+        signs: EndpointLiveness,
     ) -> None:
         self._head = head
         self._response = response
@@ -167,7 +167,7 @@
         protocols: WireCodec,
         backend: LinkedBackend,
         clock: Clock,
-        signs: EndpointSigns,
+        signs: EndpointLiveness,
         notices: EndpointNotices,
         limits: PoolLimits = POOL_LIMITS,
     ) -> None:
--- a/dotterelpaddle/forwarding/parts.py
+++ b/dotterelpaddle/forwarding/parts.py
@@ -28,7 +28,7 @@
 from dotterelpaddle.forwarding.repeats import SharedRepeats
 from dotterelpaddle.forwarding.residency import ResidencyPolicy
 from dotterelpaddle.forwarding.shares import TotalsTracker
-from dotterelpaddle.forwarding.signs import EndpointSigns
+from dotterelpaddle.forwarding.signs import EndpointLiveness
 from dotterelpaddle.forwarding.view import FleetView
 from dotterelpaddle.forwarding.waits import TimeoutEstimator
 from dotterelpaddle.network import LinkedBackend
@@ -102,7 +102,7 @@
     shares: TotalsTracker
     loads: LoadTracker
     health: HealthTracker
-    signs: EndpointSigns
+    signs: EndpointLiveness
     quiet: EndpointBackoffs
     cold: ColdEndpoints
     caches: CacheMap
@@ -359,7 +359,7 @@
         shares=shares,
         loads=LoadTracker(shares=shares),
         health=HealthTracker(clock=clock),
-        signs=EndpointSigns(clock=clock),
+        signs=EndpointLiveness(clock=clock),
         quiet=EndpointBackoffs(clock=clock),
         cold=ColdEndpoints(
             router=settings.router,
--- a/dotterelpaddle/forwarding/signs.py
+++ b/dotterelpaddle/forwarding/signs.py
@@ -35,7 +35,7 @@
         self.answered_sent_at: deque[float] = deque(maxlen=MAX_REMEMBERED_ANSWERS)
 
 
-class EndpointSigns:
+class EndpointLiveness:
     """Signs of life of endpoints, from all requests of this router.
 
     Args:
--- a/dotterelpaddle/tests/forwarding/test_signs.py
+++ b/dotterelpaddle/tests/forwarding/test_signs.py
@@ -14,7 +14,7 @@
 from dotterelpaddle.forwarding.signs import (
     MAX_SILENCE_SECONDS,
     MIN_OVERTAKING_ANSWERS,
-    EndpointSigns,
+    EndpointLiveness,
 )
 from dotterelpaddle.ids import EndpointId
 from dotterelpaddle.links import Links
@@ -28,7 +28,7 @@
 
     def __init__(self) -> None:
         self.now = 0.0
-        self.signs = EndpointSigns(clock=lambda: self.now)
+        self.signs = EndpointLiveness(clock=lambda: self.now)
 
 
 def test_engine_that_answers_in_order_is_slow_for_all() -> None:
