--- a/dotterelpaddle/forwarding/client.py
+++ b/dotterelpaddle/forwarding/client.py
@@ -121,7 +121,7 @@
             async for chunk in self._response.aiter_stream():
                 # Until here the patience for the answer's begin was in force.
                 self._connection.stream.read_timeout = self._gap
-                self._signs.heard(endpoint=self._endpoint)
+                self._signs.record_bytes(endpoint=self._endpoint)
                 yield chunk
         except httpcore.ReadTimeout as error:
             raise EndpointSilent("the answer stopped", peer=self._endpoint) from error
--- a/dotterelpaddle/forwarding/signs.py
+++ b/dotterelpaddle/forwarding/signs.py
@@ -46,7 +46,7 @@
         self._clock = clock
         self._signs: dict[EndpointId, _Signs] = {}
 
-    def heard(self, *, endpoint: EndpointId) -> None:
+    def record_bytes(self, *, endpoint: EndpointId) -> None:
         """Note that some bytes came from an endpoint."""
         self._of(endpoint).last_bytes_at = self._clock()
 
--- a/dotterelpaddle/tests/forwarding/test_signs.py
+++ b/dotterelpaddle/tests/forwarding/test_signs.py
@@ -52,7 +52,7 @@
 
 def test_engine_that_sends_nothing_to_anybody_is_not_waited_for() -> None:
     world = World()
-    world.signs.heard(endpoint=ENGINE)
+    world.signs.record_bytes(endpoint=ENGINE)
     world.now = MAX_SILENCE_SECONDS + 0.01
 
     assert not world.signs.is_slow(endpoint=ENGINE, sent_at=0.0)
@@ -64,7 +64,7 @@
 
 def test_engines_that_are_gone_are_forgotten() -> None:
     world = World()
-    world.signs.heard(endpoint=ENGINE)
+    world.signs.record_bytes(endpoint=ENGINE)
     world.signs.keep(endpoints=frozenset())
 
     assert not world.signs.is_slow(endpoint=ENGINE, sent_at=0.0)
