--- a/dotterelpaddle/forwarding/client.py
+++ b/dotterelpaddle/forwarding/client.py
@@ -204,7 +204,9 @@
             connection.stream.more_time = partial(self._more_time, call, sent_at)
             response = await self._exchange(call=call, connection=connection)
             connection.stream.more_time = None
-            self._signs.begun(endpoint=call.entry.endpoint, sent_at=sent_at)
+            self._signs.record_answer_start(
+                endpoint=call.entry.endpoint, sent_at=sent_at
+            )
             head = self._protocols.decode_answer(
                 status=response.status, headers=response.headers
             )
--- a/dotterelpaddle/forwarding/signs.py
+++ b/dotterelpaddle/forwarding/signs.py
@@ -50,7 +50,7 @@
         """Note that some bytes came from an endpoint."""
         self._of(endpoint).last_bytes_at = self._clock()
 
-    def begun(self, *, endpoint: EndpointId, sent_at: float) -> None:
+    def record_answer_start(self, *, endpoint: EndpointId, sent_at: float) -> None:
         """Note that the answer to a request that was sent at some time began."""
         signs = self._of(endpoint)
         signs.last_bytes_at = self._clock()
--- a/dotterelpaddle/tests/forwarding/test_signs.py
+++ b/dotterelpaddle/tests/forwarding/test_signs.py
@@ -35,7 +35,7 @@
     world = World()
     for number in range(20):
         world.now = 1.0 + number / 100
-        world.signs.begun(endpoint=ENGINE, sent_at=number / 100)
+        world.signs.record_answer_start(endpoint=ENGINE, sent_at=number / 100)
 
     assert world.signs.is_slow(endpoint=ENGINE, sent_at=0.2)
 
@@ -44,7 +44,7 @@
     world = World()
     world.now = 1.0
     for number in range(MIN_OVERTAKING_ANSWERS):
-        world.signs.begun(endpoint=ENGINE, sent_at=0.5 + number / 100)
+        world.signs.record_answer_start(endpoint=ENGINE, sent_at=0.5 + number / 100)
 
     assert not world.signs.is_slow(endpoint=ENGINE, sent_at=0.4)
     assert world.signs.is_slow(endpoint=ENGINE, sent_at=0.51)
