--- a/dotterelpaddle/forwarding/signs.py
+++ b/dotterelpaddle/forwarding/signs.py
@@ -71,7 +71,7 @@
             < MIN_OVERTAKING_ANSWERS
         )
 
-    def keep(self, *, endpoints: frozenset[EndpointId]) -> None:
+    def retain(self, *, endpoints: frozenset[EndpointId]) -> None:
         """Forget all endpoints but some."""
         for endpoint in self._signs.keys() - endpoints:
             del self._signs[endpoint]
--- a/dotterelpaddle/tests/forwarding/test_signs.py
+++ b/dotterelpaddle/tests/forwarding/test_signs.py
@@ -65,7 +65,7 @@
 def test_engines_that_are_gone_are_forgotten() -> None:
     world = World()
     world.signs.record_bytes(endpoint=ENGINE)
-    world.signs.keep(endpoints=frozenset())
+    world.signs.retain(endpoints=frozenset())
 
     assert not world.signs.is_slow(endpoint=ENGINE, sent_at=0.0)
 
