--- a/dotterelpaddle/forwarding/repeats.py
+++ b/dotterelpaddle/forwarding/repeats.py
@@ -22,7 +22,7 @@
     from dotterelpaddle.forwarding.shares import TotalsTracker
     from dotterelpaddle.ids import ServiceName
 
-SAFETY = 0.85
+BUDGET_SAFETY_FACTOR = 0.85
 """Share of the budget that is spent; the rest is for counts on their way."""
 
 HEARD_MEMORY = 30.0
@@ -138,7 +138,9 @@
                 repeats += counts.retries
         self._note_heard(count=heard, now=now)
         routers = max(self._routers(), self._most_heard)
-        budget = SAFETY * (self._limits.share * requests + self._limits.allowance)
+        budget = BUDGET_SAFETY_FACTOR * (
+            self._limits.share * requests + self._limits.allowance
+        )
         # Routers that were not heard of may have spent as much as this one.
         unheard = (routers - heard) * budget / routers
         return (budget - repeats - unheard) / max(1.0, routers / 2)
