--- a/dotterelpaddle/forwarding/repeats.py
+++ b/dotterelpaddle/forwarding/repeats.py
@@ -25,7 +25,7 @@
 BUDGET_SAFETY_FACTOR = 0.85
 """Share of the budget that is spent; the rest is for counts on their way."""
 
-HEARD_MEMORY = 30.0
+ROUTER_COUNT_MEMORY_SECONDS = 30.0
 """Seconds for which routers that were counted may still spend repeats unheard; a cut
 network is whole again by then, or its other side has little left to repeat."""
 
@@ -147,7 +147,10 @@
 
     def _note_heard(self, *, count: int, now: float) -> None:
         """Remember the most routers whose repeats were counted of late."""
-        if count >= self._most_heard or now - self._most_heard_at > HEARD_MEMORY:
+        if (
+            count >= self._most_heard
+            or now - self._most_heard_at > ROUTER_COUNT_MEMORY_SECONDS
+        ):
             self._most_heard = count
             self._most_heard_at = now
 
--- a/dotterelpaddle/tests/forwarding/test_repeats.py
+++ b/dotterelpaddle/tests/forwarding/test_repeats.py
@@ -7,7 +7,7 @@
 from hypothesis.stateful import RuleBasedStateMachine, initialize, invariant, rule
 
 from dotterelpaddle.forwarding.repeats import (
-    HEARD_MEMORY,
+    ROUTER_COUNT_MEMORY_SECONDS,
     RepeatLimits,
     SharedRepeats,
 )
@@ -76,7 +76,7 @@
     now = 3.0
     hear(3)
     behind_a_cut = repeats.room(service=SERVICE)
-    now = 2 * HEARD_MEMORY
+    now = 2 * ROUTER_COUNT_MEMORY_SECONDS
     hear(3)
     later = repeats.room(service=SERVICE)
 
