--- a/dotterelpaddle/forwarding/repeats.py
+++ b/dotterelpaddle/forwarding/repeats.py
@@ -29,7 +29,7 @@
 """Seconds for which routers that were counted may still spend repeats unheard; a cut
 network is whole again by then, or its other side has little left to repeat."""
 
-STEP = 0.25
+WINDOW_STEP_SECONDS = 0.25
 """Seconds of one step in which requests are counted together."""
 
 
@@ -57,14 +57,16 @@
         self._sum = 0
 
     def add(self, *, now: float) -> None:
-        if self._steps and now - self._steps[-1][0] < STEP:
+        if self._steps and now - self._steps[-1][0] < WINDOW_STEP_SECONDS:
             self._steps[-1][1] += 1
         else:
             self._steps.append([now, 1])
         self._sum += 1
 
     def total(self, *, now: float) -> int:
-        while self._steps and now - self._steps[0][0] > self._length + STEP:
+        while (
+            self._steps and now - self._steps[0][0] > self._length + WINDOW_STEP_SECONDS
+        ):
             self._sum -= int(self._steps.popleft()[1])
         return self._sum
 
