--- a/dotterelpaddle/forwarding/repeats.py
+++ b/dotterelpaddle/forwarding/repeats.py
@@ -34,7 +34,7 @@
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
-class RepeatLimits:
+class RetryLimits:
     """What repeats may cost.
 
     Attributes:
@@ -84,7 +84,7 @@
     def __init__(
         self,
         *,
-        limits: RepeatLimits,
+        limits: RetryLimits,
         shares: TotalsTracker,
         routers: Callable[[], int],
         clock: Clock,
--- a/dotterelpaddle/forwarding/settings.py
+++ b/dotterelpaddle/forwarding/settings.py
@@ -8,7 +8,7 @@
 from dotterelpaddle.address import Address
 from dotterelpaddle.config.plain import Section, parse_yaml
 from dotterelpaddle.exceptions import SettingsError
-from dotterelpaddle.forwarding.repeats import RepeatLimits
+from dotterelpaddle.forwarding.repeats import RetryLimits
 from dotterelpaddle.ids import FailureDomain, Region, RouterId
 
 if TYPE_CHECKING:
@@ -67,7 +67,7 @@
     seeds: tuple[Address, ...]
     store: Address
     shutdown_timeout: float
-    retry_limits: RepeatLimits
+    retry_limits: RetryLimits
     link_mbps: int = 0
     leaving_propagation_time: float = 2.0
     metrics: Address | None = None
@@ -138,8 +138,8 @@
     return bounds
 
 
-def _repeats(section: Section) -> RepeatLimits:
-    limits = RepeatLimits(
+def _repeats(section: Section) -> RetryLimits:
+    limits = RetryLimits(
         share=section.number("share"),
         allowance=section.number("allowance"),
         window=section.number("window_seconds", minimum=1.0),
--- a/dotterelpaddle/tests/forwarding/harness.py
+++ b/dotterelpaddle/tests/forwarding/harness.py
@@ -13,7 +13,7 @@
 from dotterelpaddle.address import Address
 from dotterelpaddle.clock import monotonic
 from dotterelpaddle.forwarding.parts import Dependencies
-from dotterelpaddle.forwarding.repeats import RepeatLimits
+from dotterelpaddle.forwarding.repeats import RetryLimits
 from dotterelpaddle.forwarding.router import RunningForwarder, run_forwarder
 from dotterelpaddle.forwarding.settings import ForwardSettings
 from dotterelpaddle.ids import FailureDomain, RouterId
@@ -37,7 +37,7 @@
 LIMIT = 10.0
 """Seconds after which a wait of a test fails."""
 
-REPEATS = RepeatLimits(share=0.2, allowance=50.0, window=10.0)
+REPEATS = RetryLimits(share=0.2, allowance=50.0, window=10.0)
 
 Headers = dict[bytes, bytes]
 
--- a/dotterelpaddle/tests/forwarding/test_repeats.py
+++ b/dotterelpaddle/tests/forwarding/test_repeats.py
@@ -8,14 +8,14 @@
 
 from dotterelpaddle.forwarding.repeats import (
     ROUTER_COUNT_MEMORY_SECONDS,
-    RepeatLimits,
+    RetryLimits,
     SharedRepeats,
 )
 from dotterelpaddle.forwarding.shares import RequestTotals, TotalsScope, TotalsTracker
 from dotterelpaddle.ids import FailureDomain, RouterId, ServiceName
 
 SERVICE = ServiceName("records")
-LIMITS = RepeatLimits(share=0.2, allowance=20.0, window=10.0)
+LIMITS = RetryLimits(share=0.2, allowance=20.0, window=10.0)
 ROUTERS = 3
 
 
--- a/dotterelpaddle/tests/owners/hosts.py
+++ b/dotterelpaddle/tests/owners/hosts.py
@@ -13,7 +13,7 @@
 
 from dotterelpaddle.address import Address
 from dotterelpaddle.forwarding.parts import Components, Dependencies, build_components
-from dotterelpaddle.forwarding.repeats import RepeatLimits
+from dotterelpaddle.forwarding.repeats import RetryLimits
 from dotterelpaddle.forwarding.settings import ForwardSettings
 from dotterelpaddle.ids import FailureDomain, RouterId
 from dotterelpaddle.links import Links
@@ -135,7 +135,7 @@
             seeds=SEED_ADDRESSES,
             store=address,
             shutdown_timeout=8.0,
-            retry_limits=RepeatLimits(share=0.2, allowance=50.0, window=10.0),
+            retry_limits=RetryLimits(share=0.2, allowance=50.0, window=10.0),
             link_mbps=link,
             drain_time=leave_time,
         ),
