--- a/dotterelpaddle/forwarding/attempts.py
+++ b/dotterelpaddle/forwarding/attempts.py
@@ -40,7 +40,7 @@
     from dotterelpaddle.forwarding.metrics import ForwardMetrics
     from dotterelpaddle.forwarding.reachability import Reachability
     from dotterelpaddle.forwarding.relays import Relay
-    from dotterelpaddle.forwarding.repeats import SharedRepeats
+    from dotterelpaddle.forwarding.repeats import RetryBudget
     from dotterelpaddle.forwarding.residency import ResidencyPolicy
     from dotterelpaddle.forwarding.waits import TimeoutEstimator
     from dotterelpaddle.ids import EndpointId
@@ -86,7 +86,7 @@
         reachability: Reachability,
         caches: CacheMap,
         guard: CrashGuard,
-        repeats: SharedRepeats,
+        repeats: RetryBudget,
         waits: TimeoutEstimator,
         metrics: ForwardMetrics,
         clock: Clock,
--- a/dotterelpaddle/forwarding/filters.py
+++ b/dotterelpaddle/forwarding/filters.py
@@ -34,7 +34,7 @@
     from dotterelpaddle.forwarding.exchange import ForwardExchange
     from dotterelpaddle.forwarding.model import ForwardRoute
     from dotterelpaddle.forwarding.relays import Relay
-    from dotterelpaddle.forwarding.repeats import SharedRepeats
+    from dotterelpaddle.forwarding.repeats import RetryBudget
     from dotterelpaddle.forwarding.view import FleetView
     from dotterelpaddle.ids import ServiceName
 
@@ -139,7 +139,7 @@
     """
 
     def __init__(
-        self, *, attempts: Attempts, client: ForwardClient, repeats: SharedRepeats
+        self, *, attempts: Attempts, client: ForwardClient, repeats: RetryBudget
     ) -> None:
         self._attempts = attempts
         self._client = client
--- a/dotterelpaddle/forwarding/metrics.py
+++ b/dotterelpaddle/forwarding/metrics.py
@@ -16,7 +16,7 @@
     from dotterelpaddle.forwarding.exchange import ForwardExchange
     from dotterelpaddle.forwarding.follower import Follower
     from dotterelpaddle.forwarding.loads import LoadTracker
-    from dotterelpaddle.forwarding.repeats import SharedRepeats
+    from dotterelpaddle.forwarding.repeats import RetryBudget
     from dotterelpaddle.forwarding.view import FleetView
     from dotterelpaddle.peers.directory import PeerDirectory
 
@@ -119,7 +119,7 @@
 
     view: FleetView
     loads: LoadTracker
-    repeats: SharedRepeats
+    repeats: RetryBudget
     crashes: CrashTracker
     directory: PeerDirectory
     follower: Follower
--- a/dotterelpaddle/forwarding/parts.py
+++ b/dotterelpaddle/forwarding/parts.py
@@ -25,7 +25,7 @@
 from dotterelpaddle.forwarding.placement import ForwardPlacer
 from dotterelpaddle.forwarding.quiet import EndpointBackoffs
 from dotterelpaddle.forwarding.reachability import Reachability
-from dotterelpaddle.forwarding.repeats import SharedRepeats
+from dotterelpaddle.forwarding.repeats import RetryBudget
 from dotterelpaddle.forwarding.residency import ResidencyPolicy
 from dotterelpaddle.forwarding.shares import TotalsTracker
 from dotterelpaddle.forwarding.signs import EndpointLiveness
@@ -107,7 +107,7 @@
     cold: ColdEndpoints
     caches: CacheMap
     crashes: CrashTracker
-    repeats: SharedRepeats
+    repeats: RetryBudget
     directory: PeerDirectory
 
 
@@ -370,7 +370,7 @@
         ),
         caches=caches,
         crashes=CrashTracker(clock=clock),
-        repeats=SharedRepeats(
+        repeats=RetryBudget(
             limits=settings.retry_limits,
             shares=shares,
             routers=lambda: directory.count,
--- a/dotterelpaddle/forwarding/repeats.py
+++ b/dotterelpaddle/forwarding/repeats.py
@@ -71,7 +71,7 @@
         return self._sum
 
 
-class SharedRepeats:
+class RetryBudget:
     """Counts requests and repeats, and says whether one more may be sent.
 
     Args:
--- a/dotterelpaddle/peers/exchange.py
+++ b/dotterelpaddle/peers/exchange.py
@@ -30,7 +30,7 @@
     from dotterelpaddle.forwarding.crashes import CrashTracker
     from dotterelpaddle.forwarding.follower import Follower
     from dotterelpaddle.forwarding.loads import LoadTracker
-    from dotterelpaddle.forwarding.repeats import SharedRepeats
+    from dotterelpaddle.forwarding.repeats import RetryBudget
     from dotterelpaddle.forwarding.shares import TotalsTracker
     from dotterelpaddle.forwarding.uses import PartUse
     from dotterelpaddle.forwarding.view import FleetView
@@ -93,7 +93,7 @@
         *,
         view: FleetView,
         loads: LoadTracker,
-        repeats: SharedRepeats,
+        repeats: RetryBudget,
         shares: TotalsTracker,
         caches: CacheMap,
         crashes: CrashTracker,
--- a/dotterelpaddle/tests/forwarding/test_repeats.py
+++ b/dotterelpaddle/tests/forwarding/test_repeats.py
@@ -8,8 +8,8 @@
 
 from dotterelpaddle.forwarding.repeats import (
     ROUTER_COUNT_MEMORY_SECONDS,
+    RetryBudget,
     RetryLimits,
-    SharedRepeats,
 )
 from dotterelpaddle.forwarding.shares import RequestTotals, TotalsScope, TotalsTracker
 from dotterelpaddle.ids import FailureDomain, RouterId, ServiceName
@@ -22,8 +22,8 @@
 HERE = FailureDomain("here")
 
 
-def _repeats(*, routers: int = 1) -> SharedRepeats:
-    return SharedRepeats(
+def _repeats(*, routers: int = 1) -> RetryBudget:
+    return RetryBudget(
         limits=LIMITS,
         shares=TotalsTracker(failure_domain=HERE, clock=lambda: 0.0),
         routers=lambda: routers,
@@ -62,7 +62,7 @@
     now = 0.0
     shares = TotalsTracker(failure_domain=HERE, clock=lambda: now)
     shares.is_aggregator = False
-    repeats = SharedRepeats(
+    repeats = RetryBudget(
         limits=LIMITS, shares=shares, routers=lambda: 4, clock=lambda: now
     )
 
@@ -90,16 +90,16 @@
     def __init__(self) -> None:
         super().__init__()
         self.now = 0.0
-        self.routers: list[SharedRepeats] = []
+        self.routers: list[RetryBudget] = []
         self.shares: list[TotalsTracker] = []
         self.requests: list[float] = []
         self.repeats: list[float] = []
         self.pending: list[tuple[int, dict]] = []  # type: ignore[type-arg]
 
-    def _router(self) -> SharedRepeats:
+    def _router(self) -> RetryBudget:
         shares = TotalsTracker(failure_domain=HERE, clock=lambda: self.now)
         self.shares.append(shares)
-        return SharedRepeats(
+        return RetryBudget(
             limits=LIMITS,
             shares=shares,
             routers=lambda: ROUTERS,
--- a/dotterelpaddle/tests/peers/fleet.py
+++ b/dotterelpaddle/tests/peers/fleet.py
@@ -18,7 +18,7 @@
 if TYPE_CHECKING:
     from dotterelpaddle.forwarding.caches import CacheMap
     from dotterelpaddle.forwarding.loads import LoadTracker
-    from dotterelpaddle.forwarding.repeats import SharedRepeats
+    from dotterelpaddle.forwarding.repeats import RetryBudget
     from dotterelpaddle.forwarding.shares import TotalsTracker
     from dotterelpaddle.peers.directory import PeerDirectory
     from dotterelpaddle.peers.plan import ReportPlan
@@ -35,7 +35,7 @@
     directory: PeerDirectory
     shares: TotalsTracker
     loads: LoadTracker
-    repeats: SharedRepeats
+    repeats: RetryBudget
     caches: CacheMap
     plan: ReportPlan
     word: PeersWord
