--- a/dotterelpaddle/forwarding/attempts.py
+++ b/dotterelpaddle/forwarding/attempts.py
@@ -255,7 +255,7 @@
         return (
             route.retryable
             and exchange.attempts.maybe_run + 1 < route.max_attempts
-            and self._repeats.may_take(service=service)
+            and self._repeats.has_room(service=service)
         )
 
     def _may_follow(self, *, exchange: ForwardExchange, failure: EndpointError) -> bool:
--- a/dotterelpaddle/forwarding/repeats.py
+++ b/dotterelpaddle/forwarding/repeats.py
@@ -102,13 +102,13 @@
         """Count a request that came in for a service."""
         self._window(self._requests, service).add(now=self._clock())
 
-    def may_take(self, *, service: ServiceName) -> bool:
+    def has_room(self, *, service: ServiceName) -> bool:
         """Tell whether one more repeat is within the budget."""
         return self.room(service=service) >= 1.0
 
     def take(self, *, service: ServiceName) -> bool:
         """Count a repeat; False, and nothing counted, without room for it."""
-        if not self.may_take(service=service):
+        if not self.has_room(service=service):
             return False
         self._window(self._repeats, service).add(now=self._clock())
         return True
