--- a/dotterelpaddle/forwarding/attempts.py
+++ b/dotterelpaddle/forwarding/attempts.py
@@ -275,7 +275,7 @@
             return False
         if attempts.sent - attempts.maybe_run > MAX_REFUSED:
             return False
-        return self._repeats.take(service=service)
+        return self._repeats.acquire(service=service)
 
     def _log_choice(self, *, exchange: ForwardExchange, choice: Choice) -> None:
         source = choice.fetch_from
--- a/dotterelpaddle/forwarding/repeats.py
+++ b/dotterelpaddle/forwarding/repeats.py
@@ -106,7 +106,7 @@
         """Tell whether one more repeat is within the budget."""
         return self.room(service=service) >= 1.0
 
-    def take(self, *, service: ServiceName) -> bool:
+    def acquire(self, *, service: ServiceName) -> bool:
         """Count a repeat; False, and nothing counted, without room for it."""
         if not self.has_room(service=service):
             return False
--- a/dotterelpaddle/tests/forwarding/test_repeats.py
+++ b/dotterelpaddle/tests/forwarding/test_repeats.py
@@ -34,7 +34,7 @@
 def test_allowance_is_there_without_requests() -> None:
     repeats = _repeats()
 
-    taken = sum(repeats.take(service=SERVICE) for _ in range(100))
+    taken = sum(repeats.acquire(service=SERVICE) for _ in range(100))
 
     assert 10 <= taken <= LIMITS.allowance
 
@@ -44,7 +44,7 @@
     for _ in range(200):
         repeats.count_request(service=SERVICE)
 
-    taken = sum(repeats.take(service=SERVICE) for _ in range(100))
+    taken = sum(repeats.acquire(service=SERVICE) for _ in range(100))
 
     assert LIMITS.allowance < taken <= LIMITS.allowance + 0.2 * 200
 
@@ -52,8 +52,8 @@
 def test_routers_that_were_not_heard_may_have_spent_their_part() -> None:
     alone, among_four = _repeats(), _repeats(routers=4)
 
-    taken_alone = sum(alone.take(service=SERVICE) for _ in range(100))
-    taken = sum(among_four.take(service=SERVICE) for _ in range(100))
+    taken_alone = sum(alone.acquire(service=SERVICE) for _ in range(100))
+    taken = sum(among_four.acquire(service=SERVICE) for _ in range(100))
 
     assert 0 < taken <= taken_alone / 4
 
@@ -126,7 +126,7 @@
     @rule(router=st.integers(0, ROUTERS - 1), count=st.integers(1, 10))
     def repeat(self, router: int, count: int) -> None:
         for _ in range(count):
-            if self.routers[router].take(service=SERVICE):
+            if self.routers[router].acquire(service=SERVICE):
                 self.repeats.append(self.now)
 
     @rule()
