--- a/dotterelpaddle/forwarding/parts.py
+++ b/dotterelpaddle/forwarding/parts.py
@@ -86,7 +86,7 @@
 
     Attributes:
         view: Configuration and endpoints in force.
-        shares: What other routers told of their requests.
+        totals: What other routers told of their requests.
         loads: Requests in flight.
         health: Results of requests.
         signs: Signs of life of endpoints.
@@ -99,7 +99,7 @@
     """
 
     view: FleetView
-    shares: TotalsTracker
+    totals: TotalsTracker
     loads: LoadTracker
     health: HealthTracker
     signs: EndpointLiveness
@@ -173,7 +173,7 @@
     word = PeersWord(
         view=knowledge.view,
         directory=directory,
-        shares=knowledge.shares,
+        shares=knowledge.totals,
         clock=clock,
     )
     metrics = ForwardMetrics()
@@ -286,11 +286,11 @@
             view=knowledge.view,
             loads=knowledge.loads,
             repeats=knowledge.repeats,
-            shares=knowledge.shares,
+            shares=knowledge.totals,
             caches=knowledge.caches,
             crashes=knowledge.crashes,
             directory=directory,
-            plan=ReportPlan(directory=directory, shares=knowledge.shares),
+            plan=ReportPlan(directory=directory, shares=knowledge.totals),
             word=word,
             follower=follower,
             owners=owners,
@@ -356,7 +356,7 @@
     )
     return SharedState(
         view=view,
-        shares=shares,
+        totals=shares,
         loads=LoadTracker(shares=shares),
         health=HealthTracker(clock=clock),
         signs=EndpointLiveness(clock=clock),
--- a/dotterelpaddle/tests/forwarding/test_aggregation.py
+++ b/dotterelpaddle/tests/forwarding/test_aggregation.py
@@ -36,7 +36,7 @@
         await fleet.add_router(link=link)
     member = await fleet.add_router(link=1, store=NO_STORE)
     knowledge = member.parts.state
-    await until(lambda: not knowledge.shares.is_aggregator and member.parts.app.ready)
+    await until(lambda: not knowledge.totals.is_aggregator and member.parts.app.ready)
     return len(fleet.routers) - 1
 
 
@@ -76,7 +76,7 @@
         for router in fleet.routers[:member]:
             router.parts.exchange._plan.recipients = list  # type: ignore[method-assign]
 
-        await until(lambda: parts.state.shares.is_aggregator)
+        await until(lambda: parts.state.totals.is_aggregator)
         answer = await fleet.call("/safe/", router=member)
 
     assert answer.status == 200
--- a/dotterelpaddle/tests/peers/fleet.py
+++ b/dotterelpaddle/tests/peers/fleet.py
@@ -85,7 +85,7 @@
         node = Node(
             name=knowledge.directory.own,
             directory=knowledge.directory,
-            shares=knowledge.shares,
+            shares=knowledge.totals,
             loads=knowledge.loads,
             repeats=knowledge.repeats,
             caches=knowledge.caches,
