--- a/dotterelpaddle/forwarding/parts.py
+++ b/dotterelpaddle/forwarding/parts.py
@@ -89,7 +89,7 @@
         totals: What other routers told of their requests.
         loads: Requests in flight.
         health: Results of requests.
-        signs: Signs of life of endpoints.
+        liveness: Signs of life of endpoints.
         quiet: Endpoints that want nothing from this router for a while.
         cold: What cold endpoints may get.
         caches: Where parts of prompts are.
@@ -102,7 +102,7 @@
     totals: TotalsTracker
     loads: LoadTracker
     health: HealthTracker
-    signs: EndpointLiveness
+    liveness: EndpointLiveness
     quiet: EndpointBackoffs
     cold: ColdEndpoints
     caches: CacheMap
@@ -167,7 +167,7 @@
         protocols=surroundings.protocols,
         backend=backend,
         clock=clock,
-        signs=knowledge.signs,
+        signs=knowledge.liveness,
         notices=EndpointNotices(leaving=knowledge.view.leaving, quiet=knowledge.quiet),
     )
     word = PeersWord(
@@ -359,7 +359,7 @@
         totals=shares,
         loads=LoadTracker(shares=shares),
         health=HealthTracker(clock=clock),
-        signs=EndpointLiveness(clock=clock),
+        liveness=EndpointLiveness(clock=clock),
         quiet=EndpointBackoffs(clock=clock),
         cold=ColdEndpoints(
             router=settings.router,
--- a/dotterelpaddle/forwarding/router.py
+++ b/dotterelpaddle/forwarding/router.py
@@ -131,6 +131,6 @@
         await parts.client.discard_expired()
         known = frozenset(entry.endpoint for entry in knowledge.view.entries)
         knowledge.health.retain(endpoints=known)
-        knowledge.signs.retain(endpoints=known)
+        knowledge.liveness.retain(endpoints=known)
         knowledge.quiet.retain(endpoints=known)
         knowledge.cold.retain(endpoints=known)
