--- a/dotterelpaddle/forwarding/parts.py
+++ b/dotterelpaddle/forwarding/parts.py
@@ -94,7 +94,7 @@
         cold: What cold endpoints may get.
         caches: Where parts of prompts are.
         crashes: Under which requests endpoints ended.
-        repeats: What repeats cost.
+        retry_budget: What repeats cost.
         directory: The other routers.
     """
 
@@ -107,7 +107,7 @@
     cold: ColdEndpoints
     caches: CacheMap
     crashes: CrashTracker
-    repeats: RetryBudget
+    retry_budget: RetryBudget
     directory: PeerDirectory
 
 
@@ -256,7 +256,7 @@
             metrics=metrics,
             clock=clock,
         ),
-        repeats=knowledge.repeats,
+        repeats=knowledge.retry_budget,
         waits=TimeoutEstimator(),
         metrics=metrics,
         clock=clock,
@@ -264,7 +264,7 @@
     filters = (
         FindRoute(view=knowledge.view, generator=generator),
         KeepDeadline(clock=clock),
-        Forward(attempts=attempts, client=client, repeats=knowledge.repeats),
+        Forward(attempts=attempts, client=client, repeats=knowledge.retry_budget),
     )
     return Components(
         state=knowledge,
@@ -285,7 +285,7 @@
         exchange=PeerExchange(
             view=knowledge.view,
             loads=knowledge.loads,
-            repeats=knowledge.repeats,
+            repeats=knowledge.retry_budget,
             shares=knowledge.totals,
             caches=knowledge.caches,
             crashes=knowledge.crashes,
@@ -302,7 +302,7 @@
             observed=Observed(
                 view=knowledge.view,
                 loads=knowledge.loads,
-                repeats=knowledge.repeats,
+                repeats=knowledge.retry_budget,
                 crashes=knowledge.crashes,
                 directory=directory,
                 follower=follower,
@@ -370,7 +370,7 @@
         ),
         caches=caches,
         crashes=CrashTracker(clock=clock),
-        repeats=RetryBudget(
+        retry_budget=RetryBudget(
             limits=settings.retry_limits,
             shares=shares,
             routers=lambda: directory.count,
--- a/dotterelpaddle/tests/peers/fleet.py
+++ b/dotterelpaddle/tests/peers/fleet.py
@@ -87,7 +87,7 @@
             directory=knowledge.directory,
             shares=knowledge.totals,
             loads=knowledge.loads,
-            repeats=knowledge.repeats,
+            repeats=knowledge.retry_budget,
             caches=knowledge.caches,
             plan=exchange._plan,
             word=exchange._word,
