--- a/dotterelpaddle/forwarding/app.py
+++ b/dotterelpaddle/forwarding/app.py
@@ -35,7 +35,7 @@
 
 log = get_logger(name=__name__)
 
-NO_DEADLINE = 3600.0
+UNROUTED_DEADLINE_SECONDS = 3600.0
 """Seconds until the deadline of a request whose route is not known yet."""
 
 DEFAULT_BODY_BYTES = 4 * 1024 * 1024
@@ -121,7 +121,7 @@
             request=request,
             reply=reply,
             received_at=received_at,
-            deadline=received_at + NO_DEADLINE,
+            deadline=received_at + UNROUTED_DEADLINE_SECONDS,
             attempts=OutcomeLog(),
         )
         self._in_flight += 1
