--- a/dotterelpaddle/forwarding/app.py
+++ b/dotterelpaddle/forwarding/app.py
@@ -38,7 +38,7 @@
 UNROUTED_DEADLINE_SECONDS = 3600.0
 """Seconds until the deadline of a request whose route is not known yet."""
 
-DEFAULT_BODY_BYTES = 4 * 1024 * 1024
+DEFAULT_MAX_BODY_BYTES = 4 * 1024 * 1024
 """Longest body while no configuration says otherwise."""
 
 BAD_GATEWAY = 502
@@ -167,7 +167,9 @@
     async def _read_body(self, *, receive: Receive) -> bytes:
         configuration = self._view.configuration
         limit = (
-            configuration.limits.max_body_bytes if configuration else DEFAULT_BODY_BYTES
+            configuration.limits.max_body_bytes
+            if configuration
+            else DEFAULT_MAX_BODY_BYTES
         )
         parts: list[bytes] = []
         size = 0
