--- a/dotterelpaddle/forwarding/app.py
+++ b/dotterelpaddle/forwarding/app.py
@@ -41,7 +41,7 @@
 DEFAULT_MAX_BODY_BYTES = 4 * 1024 * 1024
 """Longest body while no configuration says otherwise."""
 
-BAD_GATEWAY = 502
+BAD_GATEWAY_STATUS = 502
 UNAVAILABLE = 503
 GATEWAY_ERRORS = frozenset({502, 504})
 """Statuses that say nothing of whether a request has run."""
@@ -264,7 +264,7 @@
     """
     not_run = exchange.attempts.proves_not_run
     if error.status in PROMISES and not not_run:
-        return BAD_GATEWAY
+        return BAD_GATEWAY_STATUS
     if error.status in GATEWAY_ERRORS and not_run:
         return UNAVAILABLE
     return error.status
