--- a/dotterelpaddle/forwarding/app.py
+++ b/dotterelpaddle/forwarding/app.py
@@ -42,7 +42,7 @@
 """Longest body while no configuration says otherwise."""
 
 BAD_GATEWAY_STATUS = 502
-UNAVAILABLE = 503
+UNAVAILABLE_STATUS = 503
 GATEWAY_ERRORS = frozenset({502, 504})
 """Statuses that say nothing of whether a request has run."""
 
@@ -266,7 +266,7 @@
     if error.status in PROMISES and not not_run:
         return BAD_GATEWAY_STATUS
     if error.status in GATEWAY_ERRORS and not_run:
-        return UNAVAILABLE
+        return UNAVAILABLE_STATUS
     return error.status
 
 
