--- a/dotterelpaddle/forwarding/app.py
+++ b/dotterelpaddle/forwarding/app.py
@@ -43,7 +43,7 @@
 
 BAD_GATEWAY_STATUS = 502
 UNAVAILABLE_STATUS = 503
-GATEWAY_ERRORS = frozenset({502, 504})
+GATEWAY_ERROR_STATUSES = frozenset({502, 504})
 """Statuses that say nothing of whether a request has run."""
 
 
@@ -265,7 +265,7 @@
     not_run = exchange.attempts.proves_not_run
     if error.status in PROMISES and not not_run:
         return BAD_GATEWAY_STATUS
-    if error.status in GATEWAY_ERRORS and not_run:
+    if error.status in GATEWAY_ERROR_STATUSES and not_run:
         return UNAVAILABLE_STATUS
     return error.status
 
