--- a/dotterelpaddle/forwarding/app.py
+++ b/dotterelpaddle/forwarding/app.py
@@ -99,7 +99,7 @@
             return self._view.age
         return self._isolation.isolated_for
 
-    def announce_leaving(self) -> None:
+    def start_draining(self) -> None:
         """Report not ready and close connections after answers; still serve."""
         self._leaving = True
 
--- a/dotterelpaddle/forwarding/parts.py
+++ b/dotterelpaddle/forwarding/parts.py
@@ -145,7 +145,7 @@
 
     def announce_leaving(self) -> None:
         """Let callers go elsewhere, and other routers take over."""
-        self.app.announce_leaving()
+        self.app.start_draining()
         self.state.directory.announce_leaving()
 
 
--- a/dotterelpaddle/tests/forwarding/test_news.py
+++ b/dotterelpaddle/tests/forwarding/test_news.py
@@ -214,7 +214,7 @@
     async with run_fleet() as fleet:
         app = fleet.routers[0].parts.app
         assert app.ready
-        app.announce_leaving()
+        app.start_draining()
         answer = await fleet.call("/safe/")
 
     assert not app.ready
