--- a/dotterelpaddle/forwarding/attempts.py
+++ b/dotterelpaddle/forwarding/attempts.py
@@ -48,7 +48,7 @@
 
 log = get_logger(name=__name__)
 
-MIN_TIME_LEFT = 0.02
+MIN_TIME_LEFT_SECONDS = 0.02
 """Seconds below which nothing is sent any more; no endpoint answers faster."""
 
 MAX_UNREACHABLE = 4
@@ -218,7 +218,7 @@
         route = exchange.route
         assert route is not None
         time_left = exchange.deadline - self._clock()
-        if time_left < MIN_TIME_LEFT:
+        if time_left < MIN_TIME_LEFT_SECONDS:
             raise DeadlineExceeded("the deadline passed before it was sent")
         rank = route.priority
         if exchange.account is not None and exchange.account.priority is not None:
@@ -263,7 +263,7 @@
         route, service, attempts = exchange.route, exchange.service, exchange.attempts
         assert route is not None
         assert service is not None
-        if exchange.deadline - self._clock() < MIN_TIME_LEFT:
+        if exchange.deadline - self._clock() < MIN_TIME_LEFT_SECONDS:
             return False
         if not attempts.may_send(idempotent=route.retryable):
             return False
