--- a/dotterelpaddle/forwarding/attempts.py
+++ b/dotterelpaddle/forwarding/attempts.py
@@ -51,7 +51,7 @@
 MIN_TIME_LEFT_SECONDS = 0.02
 """Seconds below which nothing is sent any more; no endpoint answers faster."""
 
-MAX_UNREACHABLE = 4
+MAX_UNREACHABLE_ATTEMPTS = 4
 """Endpoints that are tried in vain for a connection, which costs them nothing."""
 
 MAX_REFUSED = 2
@@ -270,7 +270,7 @@
         if exchange.reply.started and not route.resumable:
             return False
         if isinstance(failure, EndpointUnreachable):
-            return attempts.count <= MAX_UNREACHABLE
+            return attempts.count <= MAX_UNREACHABLE_ATTEMPTS
         if attempts.maybe_run >= route.max_attempts:
             return False
         if attempts.sent - attempts.maybe_run > MAX_REFUSED:
