--- a/dotterelpaddle/forwarding/attempts.py
+++ b/dotterelpaddle/forwarding/attempts.py
@@ -54,7 +54,7 @@
 MAX_UNREACHABLE_ATTEMPTS = 4
 """Endpoints that are tried in vain for a connection, which costs them nothing."""
 
-MAX_REFUSED = 2
+MAX_REFUSED_ATTEMPTS = 2
 """Endpoints that may refuse a request before its caller is told to come back;
 each refusal costs all routers a repeat."""
 
@@ -273,7 +273,7 @@
             return attempts.count <= MAX_UNREACHABLE_ATTEMPTS
         if attempts.maybe_run >= route.max_attempts:
             return False
-        if attempts.sent - attempts.maybe_run > MAX_REFUSED:
+        if attempts.sent - attempts.maybe_run > MAX_REFUSED_ATTEMPTS:
             return False
         return self._repeats.acquire(service=service)
 
