--- a/dotterelpaddle/forwarding/attempts.py
+++ b/dotterelpaddle/forwarding/attempts.py
@@ -59,7 +59,7 @@
 each refusal costs all routers a repeat."""
 
 
-class Attempts:
+class AttemptRunner:
     """Places and sends attempts.
 
     Args:
--- a/dotterelpaddle/forwarding/filters.py
+++ b/dotterelpaddle/forwarding/filters.py
@@ -29,7 +29,7 @@
     from collections.abc import Awaitable, Callable
 
     from dotterelpaddle.clock import Clock
-    from dotterelpaddle.forwarding.attempts import Attempts
+    from dotterelpaddle.forwarding.attempts import AttemptRunner
     from dotterelpaddle.forwarding.client import ForwardClient
     from dotterelpaddle.forwarding.exchange import ForwardExchange
     from dotterelpaddle.forwarding.model import ForwardRoute
@@ -139,7 +139,7 @@
     """
 
     def __init__(
-        self, *, attempts: Attempts, client: ForwardClient, repeats: RetryBudget
+        self, *, attempts: AttemptRunner, client: ForwardClient, repeats: RetryBudget
     ) -> None:
         self._attempts = attempts
         self._client = client
--- a/dotterelpaddle/forwarding/parts.py
+++ b/dotterelpaddle/forwarding/parts.py
@@ -7,7 +7,7 @@
 from typing import TYPE_CHECKING
 
 from dotterelpaddle.forwarding.app import ForwardApp
-from dotterelpaddle.forwarding.attempts import Attempts
+from dotterelpaddle.forwarding.attempts import AttemptRunner
 from dotterelpaddle.forwarding.caches import CacheMap
 from dotterelpaddle.forwarding.client import ForwardClient
 from dotterelpaddle.forwarding.cold import ColdEndpoints
@@ -243,7 +243,7 @@
         exchange=owners,
         requests=requests,
     )
-    attempts = Attempts(
+    attempts = AttemptRunner(
         placer=owners_placer,
         residency=ResidencyPolicy(view=knowledge.view, regions=settings.regions),
         loads=knowledge.loads,
