--- a/dotterelpaddle/forwarding/client.py
+++ b/dotterelpaddle/forwarding/client.py
@@ -40,7 +40,7 @@
     from dotterelpaddle.ids import EndpointId
     from dotterelpaddle.network import LinkedBackend
 
-MAX_ANSWER = 8 * 1024 * 1024
+MAX_ANSWER_BYTES = 8 * 1024 * 1024
 """Bytes of an answer that is read whole; the largest known take a few KB."""
 
 LOOK_AGAIN = 0.1
@@ -141,7 +141,7 @@
         size = 0
         async for chunk in self.chunks():
             size += len(chunk)
-            if size > MAX_ANSWER:
+            if size > MAX_ANSWER_BYTES:
                 raise AnswerBroken(
                     f"the answer is over {MAX_ANSWER} bytes", peer=self._endpoint
                 )
