--- a/dotterelpaddle/forwarding/client.py
+++ b/dotterelpaddle/forwarding/client.py
@@ -43,7 +43,7 @@
 MAX_ANSWER_BYTES = 8 * 1024 * 1024
 """Bytes of an answer that is read whole; the largest known take a few KB."""
 
-LOOK_AGAIN = 0.1
+SLOW_RECHECK_SECONDS = 0.1
 """Seconds after which it is looked again whether a slow endpoint lives."""
 
 POOL_LIMITS = PoolLimits(max_open=96, max_idle=16, max_idle_age=3.0)
@@ -235,7 +235,7 @@
         if not self._signs.is_slow(endpoint=call.entry.endpoint, sent_at=sent_at):
             return 0.0
         left = call.patience.slow_first_byte - (self._clock() - sent_at)
-        return min(left, LOOK_AGAIN)
+        return min(left, SLOW_RECHECK_SECONDS)
 
     async def discard_expired(self) -> None:
         """Close idle connections that are too old, everywhere."""
