--- a/dotterelpaddle/forwarding/attempts.py
+++ b/dotterelpaddle/forwarding/attempts.py
@@ -243,7 +243,7 @@
                 may_repeat=self._may_repeat_later(exchange=exchange),
                 missing_tokens=choice.missing_tokens,
             ),
-            fresh=fresh or not route.retryable,
+            new_connection=fresh or not route.retryable,
             observe=progress.observe,
         )
 
--- a/dotterelpaddle/forwarding/client.py
+++ b/dotterelpaddle/forwarding/client.py
@@ -64,7 +64,7 @@
         body: Its whole body.
         delivery: What the endpoint is told besides.
         patience: Deadlines on progress.
-        fresh: Whether only a new connection may carry it, on which no late
+        new_connection: Whether only a new connection may carry it, on which no late
             answer to an earlier request can arrive.
         observe: Is told of each piece of evidence.
     """
@@ -74,7 +74,7 @@
     body: bytes
     delivery: RequestMetadata
     patience: Patience
-    fresh: bool
+    new_connection: bool
     observe: Observer
 
 
@@ -195,7 +195,9 @@
             ForeignAnswer: If the answer belongs to another request.
         """
         pool = self._pool(entry=call.entry)
-        connection = await pool.acquire(fresh=call.fresh, timeout=call.patience.connect)
+        connection = await pool.acquire(
+            fresh=call.new_connection, timeout=call.patience.connect
+        )
         call.observe(Evidence.CONNECTED)
         response: httpcore.Response | None = None
         try:
