--- a/dotterelpaddle/forwarding/caller_protocol.py
+++ b/dotterelpaddle/forwarding/caller_protocol.py
@@ -23,7 +23,7 @@
 its caller a retry.
 """
 
-TOO_LARGE = (
+HEADERS_TOO_LARGE_ANSWER = (
     b"HTTP/1.1 431 Request Header Fields Too Large\r\n"
     b"content-length: 0\r\nconnection: close\r\n\r\n"
 )
@@ -70,7 +70,7 @@
             too_long = bounds is not None and self._head_bytes > bounds.max_header_bytes
             if too_long and self._reads_head and not self.transport.is_closing():
                 log.warning("head_too_large", received=self._head_bytes)
-                self.transport.write(TOO_LARGE)
+                self.transport.write(HEADERS_TOO_LARGE_ANSWER)
                 self.transport.close()
 
         def on_headers_complete(self) -> None:
