--- a/dotterelpaddle/forwarding/endings.py
+++ b/dotterelpaddle/forwarding/endings.py
@@ -26,7 +26,7 @@
 
 log = get_logger(name=__name__)
 
-CONNECT_TIME = 0.15
+PROBE_TIMEOUT_SECONDS = 0.15
 """Seconds in which a connection must stand, or be refused."""
 
 LOOKS = 4
@@ -133,7 +133,9 @@
     async def _has_ended(self, *, entry: EndpointEntry) -> bool:
         for _ in range(LOOKS):
             tried = await probe_connection(
-                backend=self._backend, address=entry.address, seconds=CONNECT_TIME
+                backend=self._backend,
+                address=entry.address,
+                seconds=PROBE_TIMEOUT_SECONDS,
             )
             match tried:
                 case ConnectionOutcome.REFUSED:
