--- a/dotterelpaddle/forwarding/endings.py
+++ b/dotterelpaddle/forwarding/endings.py
@@ -29,7 +29,7 @@
 PROBE_TIMEOUT_SECONDS = 0.15
 """Seconds in which a connection must stand, or be refused."""
 
-LOOKS = 4
+MAX_PROBES = 4
 """Looks at an endpoint that gives no answer at all, before nothing is concluded."""
 
 LOOK_PAUSE = 0.5
@@ -131,7 +131,7 @@
                 )
 
     async def _has_ended(self, *, entry: EndpointEntry) -> bool:
-        for _ in range(LOOKS):
+        for _ in range(MAX_PROBES):
             tried = await probe_connection(
                 backend=self._backend,
                 address=entry.address,
