--- a/dotterelpaddle/forwarding/endings.py
+++ b/dotterelpaddle/forwarding/endings.py
@@ -32,7 +32,7 @@
 MAX_PROBES = 4
 """Looks at an endpoint that gives no answer at all, before nothing is concluded."""
 
-LOOK_PAUSE = 0.5
+PROBE_INTERVAL_SECONDS = 0.5
 """Seconds between them."""
 
 
@@ -142,5 +142,5 @@
                     return True
                 case ConnectionOutcome.ESTABLISHED:
                     return False
-            await anyio.sleep(LOOK_PAUSE)
+            await anyio.sleep(PROBE_INTERVAL_SECONDS)
         return False
