--- a/dotterelpaddle/forwarding/endings.py
+++ b/dotterelpaddle/forwarding/endings.py
@@ -43,12 +43,12 @@
     Attributes:
         fingerprint: The request.
         at: When, seconds on the monotonic clock.
-        begun: Whether its answer had begun and had brought nothing yet.
+        answer_begun: Whether its answer had begun and had brought nothing yet.
     """
 
     fingerprint: Fingerprint
     at: float
-    begun: bool
+    answer_begun: bool
 
 
 class Endings:
@@ -89,7 +89,7 @@
         """
         if entry.state is EndpointState.DRAINING or entry.endpoint in self._leaving:
             return
-        broken = _Broken(fingerprint=fingerprint, at=self._clock(), begun=begun)
+        broken = _Broken(fingerprint=fingerprint, at=self._clock(), answer_begun=begun)
         waiting = self._waiting.setdefault(entry.endpoint, [])
         if not waiting:
             self._new.append(entry)
@@ -123,7 +123,7 @@
                     fingerprint=each.fingerprint,
                     endpoint=entry.endpoint,
                     at=each.at,
-                    begun=each.begun,
+                    begun=each.answer_begun,
                 )
             else:
                 self._crashes.end_attempt(
