--- a/dotterelpaddle/forwarding/endings.py
+++ b/dotterelpaddle/forwarding/endings.py
@@ -42,12 +42,12 @@
 
     Attributes:
         fingerprint: The request.
-        at: When, seconds on the monotonic clock.
+        broken_at: When, seconds on the monotonic clock.
         answer_begun: Whether its answer had begun and had brought nothing yet.
     """
 
     fingerprint: Fingerprint
-    at: float
+    broken_at: float
     answer_begun: bool
 
 
@@ -89,7 +89,9 @@
         """
         if entry.state is EndpointState.DRAINING or entry.endpoint in self._leaving:
             return
-        broken = _Broken(fingerprint=fingerprint, at=self._clock(), answer_begun=begun)
+        broken = _Broken(
+            fingerprint=fingerprint, broken_at=self._clock(), answer_begun=begun
+        )
         waiting = self._waiting.setdefault(entry.endpoint, [])
         if not waiting:
             self._new.append(entry)
@@ -122,7 +124,7 @@
                 self._crashes.record_crash(
                     fingerprint=each.fingerprint,
                     endpoint=entry.endpoint,
-                    at=each.at,
+                    at=each.broken_at,
                     begun=each.answer_begun,
                 )
             else:
