--- a/dotterelpaddle/forwarding/crash_guard.py
+++ b/dotterelpaddle/forwarding/crash_guard.py
@@ -15,7 +15,7 @@
 
     from dotterelpaddle.clock import Clock
     from dotterelpaddle.forwarding.crashes import CrashTracker
-    from dotterelpaddle.forwarding.endings import Endings
+    from dotterelpaddle.forwarding.endings import TerminationProber
     from dotterelpaddle.forwarding.exchange import ForwardExchange
     from dotterelpaddle.forwarding.metrics import ForwardMetrics
     from dotterelpaddle.forwarding.model import EndpointEntry
@@ -43,7 +43,7 @@
         self,
         *,
         crashes: CrashTracker,
-        endings: Endings,
+        endings: TerminationProber,
         metrics: ForwardMetrics,
         clock: Clock,
     ) -> None:
--- a/dotterelpaddle/forwarding/endings.py
+++ b/dotterelpaddle/forwarding/endings.py
@@ -51,7 +51,7 @@
     answer_begun: bool
 
 
-class Endings:
+class TerminationProber:
     """Finds out whether endpoints that broke off have ended.
 
     Args:
--- a/dotterelpaddle/forwarding/parts.py
+++ b/dotterelpaddle/forwarding/parts.py
@@ -13,7 +13,7 @@
 from dotterelpaddle.forwarding.cold import ColdEndpoints
 from dotterelpaddle.forwarding.crash_guard import CrashGuard
 from dotterelpaddle.forwarding.crashes import CrashTracker
-from dotterelpaddle.forwarding.endings import Endings
+from dotterelpaddle.forwarding.endings import TerminationProber
 from dotterelpaddle.forwarding.filters import FindRoute, Forward, KeepDeadline
 from dotterelpaddle.forwarding.follower import Follower
 from dotterelpaddle.forwarding.health import HealthTracker
@@ -136,7 +136,7 @@
     client: ForwardClient
     follower: Follower
     reachability: Reachability
-    endings: Endings
+    endings: TerminationProber
     isolation: IsolationDetector
     exchange: PeerExchange
     owners: OwnerExchange
@@ -192,7 +192,7 @@
         failure_domain=settings.failure_domain,
         clock=clock,
     )
-    endings = Endings(
+    endings = TerminationProber(
         backend=backend,
         reachability=reachability,
         crashes=knowledge.crashes,
--- a/dotterelpaddle/tests/forwarding/test_endings.py
+++ b/dotterelpaddle/tests/forwarding/test_endings.py
@@ -13,7 +13,7 @@
 from dotterelpaddle.clock import monotonic
 from dotterelpaddle.exceptions import RequestBlocked
 from dotterelpaddle.forwarding.crashes import MIN_CRASHES_TO_BLOCK, CrashTracker
-from dotterelpaddle.forwarding.endings import Endings
+from dotterelpaddle.forwarding.endings import TerminationProber
 from dotterelpaddle.forwarding.model import EndpointState
 from dotterelpaddle.forwarding.reachability import Reachability
 from dotterelpaddle.forwarding.view import FleetView
@@ -46,7 +46,7 @@
             failure_domain=FailureDomain("here"),
             clock=monotonic,
         )
-        self.endings = Endings(
+        self.endings = TerminationProber(
             backend=backend,
             reachability=self.reachability,
             crashes=self.crashes,
