--- a/dotterelpaddle/forwarding/crash_guard.py
+++ b/dotterelpaddle/forwarding/crash_guard.py
@@ -98,7 +98,7 @@
             if self._is_harmless(progress=progress, output=output):
                 crashes.end_attempt(fingerprint=fingerprint, endpoint=endpoint)
             else:
-                self._endings.broke_off(
+                self._endings.report_broken_connection(
                     entry=entry,
                     fingerprint=fingerprint,
                     begun=progress.attempt.state is not AttemptState.SENT
--- a/dotterelpaddle/forwarding/endings.py
+++ b/dotterelpaddle/forwarding/endings.py
@@ -80,7 +80,7 @@
         self._new: list[EndpointEntry] = []
         self._news = anyio.Event()
 
-    def broke_off(
+    def report_broken_connection(
         self, *, entry: EndpointEntry, fingerprint: Fingerprint, begun: bool
     ) -> None:
         """Note a request whose connection broke after it had been sent.
--- a/dotterelpaddle/tests/forwarding/test_endings.py
+++ b/dotterelpaddle/tests/forwarding/test_endings.py
@@ -57,7 +57,7 @@
     def broke_off(self, *, address: Address, **fields: object) -> None:
         """Let some endpoints at an address break off under one request."""
         for number in range(MIN_CRASHES_TO_BLOCK):
-            self.endings.broke_off(
+            self.endings.report_broken_connection(
                 entry=make_entry(f"engine-{number}", address=address, **fields),
                 fingerprint=CULPRIT,
                 begun=True,
