--- a/dotterelpaddle/forwarding/entry_tags.py
+++ b/dotterelpaddle/forwarding/entry_tags.py
@@ -12,7 +12,7 @@
     from dotterelpaddle.forwarding.model import EndpointEntry
 
 
-def same_but_revision(one: EndpointEntry, other: EndpointEntry) -> bool:
+def same_content(one: EndpointEntry, other: EndpointEntry) -> bool:
     """Tell whether two entries differ by nothing that matters."""
     return one.endpoint == other.endpoint and _content(one) == _content(other)
 
--- a/dotterelpaddle/forwarding/view.py
+++ b/dotterelpaddle/forwarding/view.py
@@ -11,7 +11,7 @@
 
 import anyio
 
-from dotterelpaddle.forwarding.entry_tags import entries_tag, same_but_revision
+from dotterelpaddle.forwarding.entry_tags import entries_tag, same_content
 from dotterelpaddle.forwarding.evacuations import EvacuationSnapshot, EvacuationTracker
 from dotterelpaddle.forwarding.interface import EndpointsUpdate
 from dotterelpaddle.forwarding.leaving import LeavingEndpoints
@@ -311,7 +311,7 @@
         self._entries[name] = entry
         if self._entry_observer is not None:
             self._entry_observer(entry)
-        if known is not None and same_but_revision(known, entry):
+        if known is not None and same_content(known, entry):
             return False
         self._changed_at[name] = entry.revision
         log.info(
