--- a/dotterelpaddle/forwarding/app.py
+++ b/dotterelpaddle/forwarding/app.py
@@ -244,7 +244,7 @@
             pause_objective=route.gap_objective if route else 0.0,
             longest_pause=round(reply.longest_pause, 4),
             service=exchange.service or "",
-            version=exchange.version,
+            version=exchange.configuration_version,
             status=status,
             finished=reply.finished,
             caller_gone=exchange.caller_gone,
--- a/dotterelpaddle/forwarding/attempts.py
+++ b/dotterelpaddle/forwarding/attempts.py
@@ -284,7 +284,7 @@
             request_id=exchange.request.request_id,
             attempt=exchange.attempts.count + 1,
             service=exchange.service,
-            version=exchange.version,
+            version=exchange.configuration_version,
             endpoint=choice.entry.endpoint,
             revision=choice.entry.revision,
             reason=choice.reason.value,
--- a/dotterelpaddle/forwarding/exchange.py
+++ b/dotterelpaddle/forwarding/exchange.py
@@ -25,7 +25,7 @@
         received_at: When its head arrived, seconds on the monotonic clock.
         deadline: When nobody waits any more, seconds on the monotonic clock.
         attempts: Evidence of the attempts to serve it.
-        version: Version of the configuration that it is served by.
+        configuration_version: Version of the configuration that it is served by.
         route: Its route, once found.
         service: The service that serves it, once chosen.
         account: Its client account, None on public routes.
@@ -42,7 +42,7 @@
     deadline: float
     attempts: OutcomeLog
     body: bytes = b""
-    version: int = 0
+    configuration_version: int = 0
     route: ForwardRoute | None = None
     service: ServiceName | None = None
     account: ClientAccount | None = None
--- a/dotterelpaddle/forwarding/filters.py
+++ b/dotterelpaddle/forwarding/filters.py
@@ -76,7 +76,7 @@
                 "this router has no configuration yet; try another one",
                 retry_after=UNCONFIGURED_WAIT,
             )
-        exchange.version = configuration.version
+        exchange.configuration_version = configuration.version
         request = exchange.request
         route = self._view.route(host=request.host, path=request.path)
         if route is None:
