--- a/dotterelpaddle/forwarding/app.py
+++ b/dotterelpaddle/forwarding/app.py
@@ -152,7 +152,7 @@
                 while (await receive())["type"] != "http.disconnect":
                     pass
                 if not exchange.reply.finished:
-                    exchange.caller_gone = True
+                    exchange.caller_disconnected = True
                     tasks.cancel_scope.cancel()
 
             tasks.start_soon(_watch)
@@ -247,7 +247,7 @@
             version=exchange.configuration_version,
             status=status,
             finished=reply.finished,
-            caller_gone=exchange.caller_gone,
+            caller_gone=exchange.caller_disconnected,
             attempts=exchange.attempts.count,
             endpoint=exchange.last_endpoint,
             outcome=exchange.attempts.outcome.value,
--- a/dotterelpaddle/forwarding/exchange.py
+++ b/dotterelpaddle/forwarding/exchange.py
@@ -32,7 +32,7 @@
         fingerprint: What the same request of the same caller always has, None while
             the account is not known.
         last_endpoint: The endpoint that was tried last, for the log.
-        caller_gone: Whether the caller closed its connection before the end.
+        caller_disconnected: Whether the caller closed its connection before the end.
         error: What the caller was told in place of an answer.
     """
 
@@ -48,7 +48,7 @@
     account: ClientAccount | None = None
     fingerprint: Fingerprint | None = None
     last_endpoint: str = ""
-    caller_gone: bool = False
+    caller_disconnected: bool = False
     error: RequestError | None = None
 
 
