--- a/dotterelpaddle/forwarding/exceptions.py
+++ b/dotterelpaddle/forwarding/exceptions.py
@@ -12,7 +12,7 @@
 
 if TYPE_CHECKING:
     from dotterelpaddle.exceptions import Step
-    from dotterelpaddle.forwarding.exchange import WholeAnswer
+    from dotterelpaddle.forwarding.exchange import BufferedAnswer
 
 
 class EndpointReplaced(EndpointRefused):
@@ -38,7 +38,7 @@
         self,
         message: str,
         *,
-        answer: WholeAnswer,
+        answer: BufferedAnswer,
         step: Step | None = None,
         peer: str = "",
     ):
--- a/dotterelpaddle/forwarding/exchange.py
+++ b/dotterelpaddle/forwarding/exchange.py
@@ -53,7 +53,7 @@
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
-class WholeAnswer:
+class BufferedAnswer:
     """An endpoint's whole answer, not yet told to the caller.
 
     Attributes:
@@ -70,5 +70,5 @@
     """An answer that was told to the caller event by event, up to its end."""
 
 
-Result = WholeAnswer | Streamed
+Result = BufferedAnswer | Streamed
 """What an attempt brought."""
--- a/dotterelpaddle/forwarding/filters.py
+++ b/dotterelpaddle/forwarding/filters.py
@@ -14,7 +14,7 @@
     Step,
 )
 from dotterelpaddle.forwarding.exceptions import FailedAnswer
-from dotterelpaddle.forwarding.exchange import Streamed, WholeAnswer
+from dotterelpaddle.forwarding.exchange import BufferedAnswer, Streamed
 from dotterelpaddle.forwarding.fingerprints import fingerprint_of
 from dotterelpaddle.forwarding.model import RequestKind
 from dotterelpaddle.forwarding.relays import (
@@ -162,7 +162,7 @@
                 raise
             result = error.answer
         match result:
-            case WholeAnswer(head=head, body=body):
+            case BufferedAnswer(head=head, body=body):
                 if head.status < SERVER_ERROR:
                     exchange.attempts.deliver()
                 await exchange.reply.whole(
--- a/dotterelpaddle/forwarding/relays.py
+++ b/dotterelpaddle/forwarding/relays.py
@@ -8,7 +8,7 @@
 from dotterelpaddle.endpoint.sse import END_OF_EVENT, EventBuffer
 from dotterelpaddle.exceptions import AnswerBroken
 from dotterelpaddle.forwarding.exceptions import FailedAnswer
-from dotterelpaddle.forwarding.exchange import Result, Streamed, WholeAnswer
+from dotterelpaddle.forwarding.exchange import BufferedAnswer, Result, Streamed
 
 if TYPE_CHECKING:
     from dotterelpaddle.forwarding.client import (
@@ -131,7 +131,7 @@
                 return
 
 
-async def read_whole(*, answer: ForwardAnswer, call: ForwardCall) -> WholeAnswer:
+async def read_whole(*, answer: ForwardAnswer, call: ForwardCall) -> BufferedAnswer:
     """Read an answer to its end.
 
     Raises:
@@ -139,7 +139,7 @@
         AnswerBroken: If it is cut off, or a success without proof of origin.
     """
     head = answer.head
-    whole = WholeAnswer(head=head, body=await answer.read())
+    whole = BufferedAnswer(head=head, body=await answer.read())
     call.observe(Evidence.ANSWER_COMPLETE)
     if head.status >= SERVER_ERROR or head.status in PROMISES:
         raise FailedAnswer(
