--- a/dotterelpaddle/forwarding/exchange.py
+++ b/dotterelpaddle/forwarding/exchange.py
@@ -66,9 +66,9 @@
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
-class Streamed:
+class StreamedAnswer:
     """An answer that was told to the caller event by event, up to its end."""
 
 
-Result = BufferedAnswer | Streamed
+Result = BufferedAnswer | StreamedAnswer
 """What an attempt brought."""
--- a/dotterelpaddle/forwarding/filters.py
+++ b/dotterelpaddle/forwarding/filters.py
@@ -14,7 +14,7 @@
     Step,
 )
 from dotterelpaddle.forwarding.exceptions import FailedAnswer
-from dotterelpaddle.forwarding.exchange import BufferedAnswer, Streamed
+from dotterelpaddle.forwarding.exchange import BufferedAnswer, StreamedAnswer
 from dotterelpaddle.forwarding.fingerprints import fingerprint_of
 from dotterelpaddle.forwarding.model import RequestKind
 from dotterelpaddle.forwarding.relays import (
@@ -168,7 +168,7 @@
                 await exchange.reply.whole(
                     status=head.status, headers=head.headers, body=body
                 )
-            case Streamed():
+            case StreamedAnswer():
                 exchange.attempts.deliver()
                 await exchange.reply.finish()
 
--- a/dotterelpaddle/forwarding/relays.py
+++ b/dotterelpaddle/forwarding/relays.py
@@ -8,7 +8,7 @@
 from dotterelpaddle.endpoint.sse import END_OF_EVENT, EventBuffer
 from dotterelpaddle.exceptions import AnswerBroken
 from dotterelpaddle.forwarding.exceptions import FailedAnswer
-from dotterelpaddle.forwarding.exchange import BufferedAnswer, Result, Streamed
+from dotterelpaddle.forwarding.exchange import BufferedAnswer, Result, StreamedAnswer
 
 if TYPE_CHECKING:
     from dotterelpaddle.forwarding.client import (
@@ -99,7 +99,7 @@
             check_origin(answer=answer, call=call)
             await self._pass_on(answer=answer, call=call)
         call.observe(Evidence.ANSWER_COMPLETE)
-        return Streamed()
+        return StreamedAnswer()
 
     async def _pass_on(self, *, answer: ForwardAnswer, call: ForwardCall) -> None:
         buffer = EventBuffer()
