--- a/dotterelpaddle/forwarding/attempts.py
+++ b/dotterelpaddle/forwarding/attempts.py
@@ -34,7 +34,7 @@
     from dotterelpaddle.forwarding.caches import CacheMap
     from dotterelpaddle.forwarding.choice import Choice
     from dotterelpaddle.forwarding.crash_guard import CrashGuard
-    from dotterelpaddle.forwarding.exchange import ForwardExchange, Result
+    from dotterelpaddle.forwarding.exchange import AttemptResult, ForwardExchange
     from dotterelpaddle.forwarding.health import HealthTracker
     from dotterelpaddle.forwarding.loads import LoadTracker
     from dotterelpaddle.forwarding.metrics import ForwardMetrics
@@ -103,7 +103,7 @@
         self._metrics = metrics
         self._clock = clock
 
-    async def run(self, *, exchange: ForwardExchange, relay: Relay) -> Result:
+    async def run(self, *, exchange: ForwardExchange, relay: Relay) -> AttemptResult:
         """Send attempts until one brings an answer.
 
         Raises:
@@ -166,7 +166,7 @@
         choice: Choice,
         fresh: bool,
         connect_time: float,
-    ) -> Result:
+    ) -> AttemptResult:
         route = exchange.route
         assert route is not None
         entry = choice.entry
--- a/dotterelpaddle/forwarding/exchange.py
+++ b/dotterelpaddle/forwarding/exchange.py
@@ -70,5 +70,5 @@
     """An answer that was told to the caller event by event, up to its end."""
 
 
-Result = BufferedAnswer | StreamedAnswer
+AttemptResult = BufferedAnswer | StreamedAnswer
 """What an attempt brought."""
--- a/dotterelpaddle/forwarding/relays.py
+++ b/dotterelpaddle/forwarding/relays.py
@@ -8,7 +8,11 @@
 from dotterelpaddle.endpoint.sse import END_OF_EVENT, EventBuffer
 from dotterelpaddle.exceptions import AnswerBroken
 from dotterelpaddle.forwarding.exceptions import FailedAnswer
-from dotterelpaddle.forwarding.exchange import BufferedAnswer, Result, StreamedAnswer
+from dotterelpaddle.forwarding.exchange import (
+    AttemptResult,
+    BufferedAnswer,
+    StreamedAnswer,
+)
 
 if TYPE_CHECKING:
     from dotterelpaddle.forwarding.client import (
@@ -38,7 +42,7 @@
     def last_event(self) -> str:
         """Id of the last event that the caller has, empty for none."""
 
-    async def send(self, *, call: ForwardCall) -> Result:
+    async def send(self, *, call: ForwardCall) -> AttemptResult:
         """Send one attempt.
 
         Raises:
@@ -63,7 +67,7 @@
         """What the caller said, as it is not ours to change."""
         return self._exchange.request.last_event
 
-    async def send(self, *, call: ForwardCall) -> Result:
+    async def send(self, *, call: ForwardCall) -> AttemptResult:
         """Send one attempt."""
         async with self._client.send(call=call) as answer:
             return await read_whole(answer=answer, call=call)
@@ -91,7 +95,7 @@
         """Id of the last event that the caller has, empty for none."""
         return self._last_event
 
-    async def send(self, *, call: ForwardCall) -> Result:
+    async def send(self, *, call: ForwardCall) -> AttemptResult:
         """Send one attempt."""
         async with self._client.send(call=call) as answer:
             if answer.head.status not in SUCCESS:
