--- a/dotterelpaddle/forwarding/filters.py
+++ b/dotterelpaddle/forwarding/filters.py
@@ -40,7 +40,7 @@
 
     Next = Callable[[ForwardExchange], Awaitable[None]]
 
-UNCONFIGURED_WAIT = 0.3
+UNCONFIGURED_RETRY_SECONDS = 0.3
 """Seconds after which a caller may come back to a router without configuration.
 
 Another router, which a retry reaches, has one; this one looks ten times a second.
@@ -74,7 +74,7 @@
         if configuration is None:
             raise NotAccepting(
                 "this router has no configuration yet; try another one",
-                retry_after=UNCONFIGURED_WAIT,
+                retry_after=UNCONFIGURED_RETRY_SECONDS,
             )
         exchange.configuration_version = configuration.version
         request = exchange.request
