--- a/dotterelpaddle/forwarding/app.py
+++ b/dotterelpaddle/forwarding/app.py
@@ -24,7 +24,7 @@
     from collections.abc import Awaitable, Callable, Mapping
 
     from dotterelpaddle.clock import Clock
-    from dotterelpaddle.forwarding.filters import Next
+    from dotterelpaddle.forwarding.filters import NextFilter
     from dotterelpaddle.forwarding.interface import Headers, WireCodec
     from dotterelpaddle.forwarding.isolation import IsolationDetector
     from dotterelpaddle.forwarding.metrics import ForwardMetrics
@@ -62,7 +62,7 @@
     def __init__(
         self,
         *,
-        pipeline: Next,
+        pipeline: NextFilter,
         protocols: WireCodec,
         view: FleetView,
         isolation: IsolationDetector,
--- a/dotterelpaddle/forwarding/filters.py
+++ b/dotterelpaddle/forwarding/filters.py
@@ -61,7 +61,7 @@
         self._view = view
         self._generator = generator
 
-    async def __call__(self, exchange: ForwardExchange, rest: Next) -> None:
+    async def __call__(self, exchange: ForwardExchange, rest: NextFilter) -> None:
         """Set route, service, account and fingerprint, and go on.
 
         Raises:
@@ -111,7 +111,7 @@
     def __init__(self, *, clock: Clock) -> None:
         self._clock = clock
 
-    async def __call__(self, exchange: ForwardExchange, rest: Next) -> None:
+    async def __call__(self, exchange: ForwardExchange, rest: NextFilter) -> None:
         """Set the deadline and go on until then.
 
         Raises:
@@ -145,7 +145,7 @@
         self._client = client
         self._repeats = repeats
 
-    async def __call__(self, exchange: ForwardExchange, rest: Next) -> None:
+    async def __call__(self, exchange: ForwardExchange, rest: NextFilter) -> None:
         """Serve the request.
 
         Raises:
