--- a/dotterelpaddle/forwarding/filters.py
+++ b/dotterelpaddle/forwarding/filters.py
@@ -47,7 +47,7 @@
 """
 
 
-class FindRoute:
+class RouteFilter:
     """Finds the route of a request and the client account that sent it.
 
     Both are looked up in one version of the configuration.
--- a/dotterelpaddle/forwarding/parts.py
+++ b/dotterelpaddle/forwarding/parts.py
@@ -14,7 +14,7 @@
 from dotterelpaddle.forwarding.crash_guard import CrashGuard
 from dotterelpaddle.forwarding.crashes import CrashTracker
 from dotterelpaddle.forwarding.endings import TerminationProber
-from dotterelpaddle.forwarding.filters import FindRoute, Forward, KeepDeadline
+from dotterelpaddle.forwarding.filters import Forward, KeepDeadline, RouteFilter
 from dotterelpaddle.forwarding.follower import Follower
 from dotterelpaddle.forwarding.health import HealthTracker
 from dotterelpaddle.forwarding.isolation import IsolationDetector
@@ -262,7 +262,7 @@
         clock=clock,
     )
     filters = (
-        FindRoute(view=knowledge.view, generator=generator),
+        RouteFilter(view=knowledge.view, generator=generator),
         KeepDeadline(clock=clock),
         Forward(attempts=attempts, client=client, repeats=knowledge.retry_budget),
     )
