--- a/dotterelpaddle/forwarding/filters.py
+++ b/dotterelpaddle/forwarding/filters.py
@@ -101,7 +101,7 @@
         return self._generator.choices(route.services, weights)[0].service
 
 
-class KeepDeadline:
+class DeadlineFilter:
     """Ends a request when its route's timeout or its caller's patience ends.
 
     Args:
--- a/dotterelpaddle/forwarding/parts.py
+++ b/dotterelpaddle/forwarding/parts.py
@@ -14,7 +14,7 @@
 from dotterelpaddle.forwarding.crash_guard import CrashGuard
 from dotterelpaddle.forwarding.crashes import CrashTracker
 from dotterelpaddle.forwarding.endings import TerminationProber
-from dotterelpaddle.forwarding.filters import Forward, KeepDeadline, RouteFilter
+from dotterelpaddle.forwarding.filters import DeadlineFilter, Forward, RouteFilter
 from dotterelpaddle.forwarding.follower import Follower
 from dotterelpaddle.forwarding.health import HealthTracker
 from dotterelpaddle.forwarding.isolation import IsolationDetector
@@ -263,7 +263,7 @@
     )
     filters = (
         RouteFilter(view=knowledge.view, generator=generator),
-        KeepDeadline(clock=clock),
+        DeadlineFilter(clock=clock),
         Forward(attempts=attempts, client=client, repeats=knowledge.retry_budget),
     )
     return Components(
