--- a/dotterelpaddle/forwarding/filters.py
+++ b/dotterelpaddle/forwarding/filters.py
@@ -129,7 +129,7 @@
             raise DeadlineExceeded(f"no answer within {timeout:g} s", step=Step.ENTRY)
 
 
-class Forward:
+class ForwardFilter:
     """The last filter: sends the request to an endpoint and answers the caller.
 
     Args:
--- a/dotterelpaddle/forwarding/parts.py
+++ b/dotterelpaddle/forwarding/parts.py
@@ -14,7 +14,7 @@
 from dotterelpaddle.forwarding.crash_guard import CrashGuard
 from dotterelpaddle.forwarding.crashes import CrashTracker
 from dotterelpaddle.forwarding.endings import TerminationProber
-from dotterelpaddle.forwarding.filters import DeadlineFilter, Forward, RouteFilter
+from dotterelpaddle.forwarding.filters import DeadlineFilter, ForwardFilter, RouteFilter
 from dotterelpaddle.forwarding.follower import Follower
 from dotterelpaddle.forwarding.health import HealthTracker
 from dotterelpaddle.forwarding.isolation import IsolationDetector
@@ -264,7 +264,7 @@
     filters = (
         RouteFilter(view=knowledge.view, generator=generator),
         DeadlineFilter(clock=clock),
-        Forward(attempts=attempts, client=client, repeats=knowledge.retry_budget),
+        ForwardFilter(attempts=attempts, client=client, repeats=knowledge.retry_budget),
     )
     return Components(
         state=knowledge,
