--- a/dotterelpaddle/forwarding/attempts.py
+++ b/dotterelpaddle/forwarding/attempts.py
@@ -26,7 +26,7 @@
     IdleConnectionLost,
 )
 from dotterelpaddle.forwarding.interface import RequestMetadata
-from dotterelpaddle.forwarding.progress import Progress, Tried
+from dotterelpaddle.forwarding.progress import Progress, TriedEndpoints
 from dotterelpaddle.logs import get_logger
 
 if TYPE_CHECKING:
@@ -111,7 +111,7 @@
         """
         if exchange.request.prompt:
             await self._caches.wait_until_populated()
-        tried = Tried()
+        tried = TriedEndpoints()
         failure: EndpointError | None = None
         while True:
             try:
@@ -137,7 +137,9 @@
             if not self._may_follow(exchange=exchange, failure=failure):
                 raise failure
 
-    async def _choose(self, *, exchange: ForwardExchange, tried: Tried) -> Choice:
+    async def _choose(
+        self, *, exchange: ForwardExchange, tried: TriedEndpoints
+    ) -> Choice:
         try:
             return await self._place(exchange=exchange, excluded=tried.excluded)
         except NoEndpoint:
--- a/dotterelpaddle/forwarding/progress.py
+++ b/dotterelpaddle/forwarding/progress.py
@@ -21,7 +21,7 @@
     from dotterelpaddle.ids import EndpointId
 
 
-class Tried:
+class TriedEndpoints:
     """The endpoints that a request was meant for so far."""
 
     def __init__(self) -> None:
