--- a/dotterelpaddle/forwarding/attempts.py
+++ b/dotterelpaddle/forwarding/attempts.py
@@ -146,7 +146,7 @@
             if not tried.unconnected:
                 raise
         # Nothing was sent to those: they may be slow rather than cut off.
-        return await self._place(exchange=exchange, excluded=tried.asked)
+        return await self._place(exchange=exchange, excluded=tried.attempted)
 
     async def _place(
         self, *, exchange: ForwardExchange, excluded: frozenset[EndpointId]
--- a/dotterelpaddle/forwarding/progress.py
+++ b/dotterelpaddle/forwarding/progress.py
@@ -29,7 +29,7 @@
         self._unconnected: set[EndpointId] = set()
 
     @property
-    def asked(self) -> frozenset[EndpointId]:
+    def attempted(self) -> frozenset[EndpointId]:
         """Those that got it or said no."""
         return frozenset(self._asked)
 
@@ -41,7 +41,7 @@
     @property
     def excluded(self) -> frozenset[EndpointId]:
         """All of them."""
-        return self.asked | self.unconnected
+        return self.attempted | self.unconnected
 
     def add(self, *, endpoint: EndpointId, failure: EndpointError) -> None:
         """Take in how an attempt failed."""
