--- a/dotterelpaddle/forwarding/attempts.py
+++ b/dotterelpaddle/forwarding/attempts.py
@@ -143,7 +143,7 @@
         try:
             return await self._place(exchange=exchange, excluded=tried.excluded)
         except NoEndpoint:
-            if not tried.unconnected:
+            if not tried.connect_timeouts:
                 raise
         # Nothing was sent to those: they may be slow rather than cut off.
         return await self._place(exchange=exchange, excluded=tried.attempted)
--- a/dotterelpaddle/forwarding/progress.py
+++ b/dotterelpaddle/forwarding/progress.py
@@ -34,14 +34,14 @@
         return frozenset(self._asked)
 
     @property
-    def unconnected(self) -> frozenset[EndpointId]:
+    def connect_timeouts(self) -> frozenset[EndpointId]:
         """Those whose connection did not stand in time, asked once each."""
         return frozenset(self._unconnected)
 
     @property
     def excluded(self) -> frozenset[EndpointId]:
         """All of them."""
-        return self.attempted | self.unconnected
+        return self.attempted | self.connect_timeouts
 
     def add(self, *, endpoint: EndpointId, failure: EndpointError) -> None:
         """Take in how an attempt failed."""
