--- a/dotterelpaddle/forwarding/attempts.py
+++ b/dotterelpaddle/forwarding/attempts.py
@@ -26,7 +26,7 @@
     IdleConnectionLost,
 )
 from dotterelpaddle.forwarding.interface import RequestMetadata
-from dotterelpaddle.forwarding.progress import Progress, TriedEndpoints
+from dotterelpaddle.forwarding.progress import AttemptProgress, TriedEndpoints
 from dotterelpaddle.logs import get_logger
 
 if TYPE_CHECKING:
@@ -176,7 +176,7 @@
         self._metrics.chosen(choice=choice)
         attempt = exchange.attempts.begin(idempotent=route.retryable)
         exchange.last_endpoint = entry.endpoint
-        progress = Progress(attempt=attempt, clock=self._clock)
+        progress = AttemptProgress(attempt=attempt, clock=self._clock)
         watched = self._guard.watch(
             exchange=exchange, relay=relay, entry=entry, progress=progress
         )
@@ -213,7 +213,7 @@
         exchange: ForwardExchange,
         relay: Relay,
         choice: Choice,
-        progress: Progress,
+        progress: AttemptProgress,
         fresh: bool,
         connect_time: float,
     ) -> ForwardCall:
@@ -307,7 +307,7 @@
         *,
         exchange: ForwardExchange,
         choice: Choice,
-        progress: Progress,
+        progress: AttemptProgress,
         error: EndpointError,
     ) -> None:
         route = exchange.route
--- a/dotterelpaddle/forwarding/crash_guard.py
+++ b/dotterelpaddle/forwarding/crash_guard.py
@@ -19,7 +19,7 @@
     from dotterelpaddle.forwarding.exchange import ForwardExchange
     from dotterelpaddle.forwarding.metrics import ForwardMetrics
     from dotterelpaddle.forwarding.model import EndpointEntry
-    from dotterelpaddle.forwarding.progress import Progress
+    from dotterelpaddle.forwarding.progress import AttemptProgress
     from dotterelpaddle.forwarding.relays import Relay
 
 log = get_logger(name=__name__)
@@ -80,7 +80,7 @@
         exchange: ForwardExchange,
         relay: Relay,
         entry: EndpointEntry,
-        progress: Progress,
+        progress: AttemptProgress,
     ) -> Iterator[None]:
         """Watch one attempt at a request while the context lasts."""
         fingerprint = exchange.fingerprint
@@ -110,7 +110,7 @@
             raise
         crashes.record_served(fingerprint=fingerprint)
 
-    def _is_harmless(self, *, progress: Progress, output: bool) -> bool:
+    def _is_harmless(self, *, progress: AttemptProgress, output: bool) -> bool:
         """Tell whether a run had brought output for so long that it did no harm."""
         if progress.attempt.proves_not_run:
             return True
--- a/dotterelpaddle/forwarding/progress.py
+++ b/dotterelpaddle/forwarding/progress.py
@@ -63,7 +63,7 @@
         )
 
 
-class Progress:
+class AttemptProgress:
     """When things were seen of one attempt.
 
     Args:
