--- a/dotterelpaddle/forwarding/attempts.py
+++ b/dotterelpaddle/forwarding/attempts.py
@@ -201,7 +201,9 @@
             raise
         finally:
             attempt.end()
-        self._health.record_success(endpoint=entry.endpoint, begun_at=progress.begun_at)
+        self._health.record_success(
+            endpoint=entry.endpoint, begun_at=progress.started_at
+        )
         if progress.first_byte is not None:
             self._waits.record_answer_start(route=route, seconds=progress.first_byte)
             self._metrics.begun(service=entry.service, seconds=progress.first_byte)
@@ -340,6 +342,6 @@
             state=progress.attempt.state.value,
             error=type(error).__name__,
             cause=error.message,
-            seconds=round(self._clock() - progress.begun_at, 4),
+            seconds=round(self._clock() - progress.started_at, 4),
             streaming=exchange.reply.started,
         )
--- a/dotterelpaddle/forwarding/crash_guard.py
+++ b/dotterelpaddle/forwarding/crash_guard.py
@@ -116,5 +116,5 @@
             return True
         if not output or progress.first_byte is None:
             return False
-        begun_at = progress.begun_at + progress.first_byte
+        begun_at = progress.started_at + progress.first_byte
         return self._clock() - begun_at >= HARMLESS_OUTPUT_SECONDS
