--- a/dotterelpaddle/forwarding/attempts.py
+++ b/dotterelpaddle/forwarding/attempts.py
@@ -204,9 +204,13 @@
         self._health.record_success(
             endpoint=entry.endpoint, begun_at=progress.started_at
         )
-        if progress.first_byte is not None:
-            self._waits.record_answer_start(route=route, seconds=progress.first_byte)
-            self._metrics.begun(service=entry.service, seconds=progress.first_byte)
+        if progress.first_byte_seconds is not None:
+            self._waits.record_answer_start(
+                route=route, seconds=progress.first_byte_seconds
+            )
+            self._metrics.begun(
+                service=entry.service, seconds=progress.first_byte_seconds
+            )
         return result
 
     def _call(
@@ -327,7 +331,7 @@
             case FailedAnswer():
                 self._health.record_error_answer(entry=entry)
             case EndpointSilent():
-                if progress.first_byte is None:
+                if progress.first_byte_seconds is None:
                     self._waits.record_timeout(route=route)
                 self._health.record_timeout(entry=entry)
             case _:
--- a/dotterelpaddle/forwarding/crash_guard.py
+++ b/dotterelpaddle/forwarding/crash_guard.py
@@ -114,7 +114,7 @@
         """Tell whether a run had brought output for so long that it did no harm."""
         if progress.attempt.proves_not_run:
             return True
-        if not output or progress.first_byte is None:
+        if not output or progress.first_byte_seconds is None:
             return False
-        begun_at = progress.started_at + progress.first_byte
+        begun_at = progress.started_at + progress.first_byte_seconds
         return self._clock() - begun_at >= HARMLESS_OUTPUT_SECONDS
--- a/dotterelpaddle/forwarding/progress.py
+++ b/dotterelpaddle/forwarding/progress.py
@@ -74,7 +74,7 @@
     def __init__(self, *, attempt: Attempt, clock: Clock) -> None:
         self.attempt = attempt
         self.started_at = clock()
-        self.first_byte: float | None = None
+        self.first_byte_seconds: float | None = None
         self.held: InFlightRequest | None = None
         self._clock = clock
 
@@ -85,6 +85,6 @@
             AttemptState.ANSWERING,
             AttemptState.ANSWERED,
         ):
-            self.first_byte = self._clock() - self.started_at
+            self.first_byte_seconds = self._clock() - self.started_at
             if self.held is not None:
                 self.held.answer_started()
