--- a/dotterelpaddle/forwarding/relays.py
+++ b/dotterelpaddle/forwarding/relays.py
@@ -22,7 +22,7 @@
     )
     from dotterelpaddle.forwarding.exchange import ForwardExchange
 
-SUCCESS = range(200, 300)
+SUCCESS_STATUSES = range(200, 300)
 SERVER_ERROR = 500
 
 PROMISES = frozenset({408, 421, 429, 503})
@@ -98,7 +98,7 @@
     async def send(self, *, call: ForwardCall) -> AttemptResult:
         """Send one attempt."""
         async with self._client.send(call=call) as answer:
-            if answer.head.status not in SUCCESS:
+            if answer.head.status not in SUCCESS_STATUSES:
                 return await read_whole(answer=answer, call=call)
             check_origin(answer=answer, call=call)
             await self._pass_on(answer=answer, call=call)
@@ -163,7 +163,7 @@
             asked for, so that its body is not the endpoint's.
     """
     head = answer.head
-    if head.status in SUCCESS and (
+    if head.status in SUCCESS_STATUSES and (
         not head.has_origin_proof or head.has_unexpected_encoding
     ):
         raise AnswerBroken(
