--- a/dotterelpaddle/forwarding/filters.py
+++ b/dotterelpaddle/forwarding/filters.py
@@ -18,8 +18,8 @@
 from dotterelpaddle.forwarding.fingerprints import fingerprint_of
 from dotterelpaddle.forwarding.model import RequestKind
 from dotterelpaddle.forwarding.relays import (
+    MIN_SERVER_ERROR_STATUS,
     PROMISES,
-    SERVER_ERROR,
     EventRelay,
     WholeRelay,
 )
@@ -163,7 +163,7 @@
             result = error.answer
         match result:
             case BufferedAnswer(head=head, body=body):
-                if head.status < SERVER_ERROR:
+                if head.status < MIN_SERVER_ERROR_STATUS:
                     exchange.attempts.deliver()
                 await exchange.reply.whole(
                     status=head.status, headers=head.headers, body=body
--- a/dotterelpaddle/forwarding/relays.py
+++ b/dotterelpaddle/forwarding/relays.py
@@ -23,7 +23,7 @@
     from dotterelpaddle.forwarding.exchange import ForwardExchange
 
 SUCCESS_STATUSES = range(200, 300)
-SERVER_ERROR = 500
+MIN_SERVER_ERROR_STATUS = 500
 
 PROMISES = frozenset({408, 421, 429, 503})
 """Statuses that promise callers that a request has not run.
@@ -145,7 +145,7 @@
     head = answer.head
     whole = BufferedAnswer(head=head, body=await answer.read())
     call.observe(Evidence.ANSWER_COMPLETE)
-    if head.status >= SERVER_ERROR or head.status in PROMISES:
+    if head.status >= MIN_SERVER_ERROR_STATUS or head.status in PROMISES:
         raise FailedAnswer(
             f"answered with status {head.status}",
             answer=whole,
