--- a/dotterelpaddle/forwarding/app.py
+++ b/dotterelpaddle/forwarding/app.py
@@ -14,7 +14,7 @@
     RequestError,
 )
 from dotterelpaddle.forwarding.exchange import ForwardExchange
-from dotterelpaddle.forwarding.relays import PROMISES
+from dotterelpaddle.forwarding.relays import NOT_EXECUTED_STATUSES
 from dotterelpaddle.forwarding.reply import ForwardReply
 from dotterelpaddle.forwarding.returns import retry_after_seconds
 from dotterelpaddle.http_server import ReplyCut
@@ -207,7 +207,7 @@
         self, *, exchange: ForwardExchange, status: int, error: RequestError
     ) -> Headers:
         headers = [(b"content-type", b"text/plain; charset=utf-8")]
-        if status in PROMISES:
+        if status in NOT_EXECUTED_STATUSES:
             wait = retry_after_seconds(
                 wait=error.retry_after,
                 time_left=self._time_left(exchange=exchange),
@@ -228,7 +228,7 @@
         seconds = self._clock() - exchange.received_at
         self._metrics.ended(exchange=exchange, seconds=seconds)
         status = reply.status
-        refused = status in PROMISES
+        refused = status in NOT_EXECUTED_STATUSES
         begun = seconds
         if reply.begun_at is not None:
             begun = reply.begun_at - exchange.received_at
@@ -263,7 +263,7 @@
     Callers may repeat what they are told has not run, whatever it is.
     """
     not_run = exchange.attempts.proves_not_run
-    if error.status in PROMISES and not not_run:
+    if error.status in NOT_EXECUTED_STATUSES and not not_run:
         return BAD_GATEWAY_STATUS
     if error.status in GATEWAY_ERROR_STATUSES and not_run:
         return UNAVAILABLE_STATUS
--- a/dotterelpaddle/forwarding/filters.py
+++ b/dotterelpaddle/forwarding/filters.py
@@ -19,7 +19,7 @@
 from dotterelpaddle.forwarding.model import RequestKind
 from dotterelpaddle.forwarding.relays import (
     MIN_SERVER_ERROR_STATUS,
-    PROMISES,
+    NOT_EXECUTED_STATUSES,
     EventRelay,
     WholeRelay,
 )
@@ -158,7 +158,10 @@
                 exchange=exchange, relay=self._relay(exchange=exchange)
             )
         except FailedAnswer as error:
-            if exchange.reply.started or error.answer.head.status in PROMISES:
+            if (
+                exchange.reply.started
+                or error.answer.head.status in NOT_EXECUTED_STATUSES
+            ):
                 raise
             result = error.answer
         match result:
--- a/dotterelpaddle/forwarding/notices.py
+++ b/dotterelpaddle/forwarding/notices.py
@@ -4,7 +4,7 @@
 
 from typing import TYPE_CHECKING
 
-from dotterelpaddle.forwarding.relays import PROMISES
+from dotterelpaddle.forwarding.relays import NOT_EXECUTED_STATUSES
 from dotterelpaddle.logs import get_logger
 
 if TYPE_CHECKING:
@@ -43,5 +43,5 @@
             )
         if head.leaving:
             self._leaving.record(endpoint=endpoint)
-        if head.retry_after is not None and head.status in PROMISES:
+        if head.retry_after is not None and head.status in NOT_EXECUTED_STATUSES:
             self._quiet.record(endpoint=endpoint, seconds=head.retry_after)
--- a/dotterelpaddle/forwarding/relays.py
+++ b/dotterelpaddle/forwarding/relays.py
@@ -25,7 +25,7 @@
 SUCCESS_STATUSES = range(200, 300)
 MIN_SERVER_ERROR_STATUS = 500
 
-PROMISES = frozenset({408, 421, 429, 503})
+NOT_EXECUTED_STATUSES = frozenset({408, 421, 429, 503})
 """Statuses that promise callers that a request has not run.
 
 An endpoint's answer with one of them keeps that promise only if it says so in a
@@ -145,7 +145,7 @@
     head = answer.head
     whole = BufferedAnswer(head=head, body=await answer.read())
     call.observe(Evidence.ANSWER_COMPLETE)
-    if head.status >= MIN_SERVER_ERROR_STATUS or head.status in PROMISES:
+    if head.status >= MIN_SERVER_ERROR_STATUS or head.status in NOT_EXECUTED_STATUSES:
         raise FailedAnswer(
             f"answered with status {head.status}",
             answer=whole,
