--- a/dotterelpaddle/forwarding/relays.py
+++ b/dotterelpaddle/forwarding/relays.py
@@ -32,7 +32,7 @@
 header as well, by which it is told apart before it comes here.
 """
 
-ID_FIELD = b"id:"
+EVENT_ID_FIELD = b"id:"
 
 
 class Relay(Protocol):
@@ -174,6 +174,6 @@
 def id_of(*, event: bytes) -> str:
     """Return the id of an event, empty if it has none."""
     for line in event.split(b"\n"):
-        if line.startswith(ID_FIELD):
-            return line[len(ID_FIELD) :].strip().decode("latin-1")
+        if line.startswith(EVENT_ID_FIELD):
+            return line[len(EVENT_ID_FIELD) :].strip().decode("latin-1")
     return ""
