--- a/dotterelpaddle/forwarding/crash_guard.py
+++ b/dotterelpaddle/forwarding/crash_guard.py
@@ -86,7 +86,7 @@
         fingerprint = exchange.fingerprint
         assert fingerprint is not None
         crashes, endpoint = self._crashes, entry.endpoint
-        last_event = relay.last_event
+        last_event = relay.last_event_id
         crashes.begin_attempt(fingerprint=fingerprint, endpoint=endpoint)
         try:
             yield
@@ -94,7 +94,7 @@
             crashes.record_served(fingerprint=fingerprint)
             raise
         except AnswerBroken:
-            output = relay.last_event != last_event
+            output = relay.last_event_id != last_event
             if self._is_harmless(progress=progress, output=output):
                 crashes.end_attempt(fingerprint=fingerprint, endpoint=endpoint)
             else:
--- a/dotterelpaddle/forwarding/relays.py
+++ b/dotterelpaddle/forwarding/relays.py
@@ -39,7 +39,7 @@
     """Sends attempts of one exchange."""
 
     @property
-    def last_event(self) -> str:
+    def last_event_id(self) -> str:
         """Id of the last event that the caller has, empty for none."""
 
     async def send(self, *, call: ForwardCall) -> AttemptResult:
@@ -63,7 +63,7 @@
         self._client = client
 
     @property
-    def last_event(self) -> str:
+    def last_event_id(self) -> str:
         """What the caller said, as it is not ours to change."""
         return self._exchange.request.last_event
 
@@ -91,7 +91,7 @@
         self._last_event = exchange.request.last_event
 
     @property
-    def last_event(self) -> str:
+    def last_event_id(self) -> str:
         """Id of the last event that the caller has, empty for none."""
         return self._last_event
 
