--- a/dotterelpaddle/forwarding/filters.py
+++ b/dotterelpaddle/forwarding/filters.py
@@ -20,8 +20,8 @@
 from dotterelpaddle.forwarding.relays import (
     MIN_SERVER_ERROR_STATUS,
     NOT_EXECUTED_STATUSES,
+    BufferingRelay,
     EventRelay,
-    WholeRelay,
 )
 
 if TYPE_CHECKING:
@@ -181,4 +181,4 @@
             case RequestKind.STREAM:
                 return EventRelay(exchange=exchange, client=self._client)
             case RequestKind.IDEMPOTENT | RequestKind.NON_IDEMPOTENT:
-                return WholeRelay(exchange=exchange, client=self._client)
+                return BufferingRelay(exchange=exchange, client=self._client)
--- a/dotterelpaddle/forwarding/relays.py
+++ b/dotterelpaddle/forwarding/relays.py
@@ -50,7 +50,7 @@
         """
 
 
-class WholeRelay:
+class BufferingRelay:
     """Holds an answer back until it is whole, so that another can replace it.
 
     Args:
