--- a/dotterelpaddle/forwarding/relays.py
+++ b/dotterelpaddle/forwarding/relays.py
@@ -70,7 +70,7 @@
     async def send(self, *, call: ForwardCall) -> AttemptResult:
         """Send one attempt."""
         async with self._client.send(call=call) as answer:
-            return await read_whole(answer=answer, call=call)
+            return await read_buffered_answer(answer=answer, call=call)
 
 
 class EventRelay:
@@ -99,7 +99,7 @@
         """Send one attempt."""
         async with self._client.send(call=call) as answer:
             if answer.head.status not in SUCCESS_STATUSES:
-                return await read_whole(answer=answer, call=call)
+                return await read_buffered_answer(answer=answer, call=call)
             check_origin(answer=answer, call=call)
             await self._pass_on(answer=answer, call=call)
         call.observe(Evidence.ANSWER_COMPLETE)
