--- a/dotterelpaddle/forwarding/relays.py
+++ b/dotterelpaddle/forwarding/relays.py
@@ -129,7 +129,7 @@
 
     def _note(self, *, events: list[bytes]) -> None:
         for event in reversed(events):
-            event_id = id_of(event=event)
+            event_id = parse_event_id(event=event)
             if event_id:
                 self._last_event = event_id
                 return
@@ -171,7 +171,7 @@
         )
 
 
-def id_of(*, event: bytes) -> str:
+def parse_event_id(*, event: bytes) -> str:
     """Return the id of an event, empty if it has none."""
     for line in event.split(b"\n"):
         if line.startswith(EVENT_ID_FIELD):
