--- a/dotterelpaddle/dispatch/claim_filter.py
+++ b/dotterelpaddle/dispatch/claim_filter.py
@@ -234,7 +234,7 @@
             OUTCOME_HEADER: exchange.outcome.value,
             REPLAY_HEADER: found.request_id,
         }
-        await exchange.reply.whole(
+        await exchange.reply.send_buffered(
             status=answer.status, headers=headers, body=answer.body
         )
 
--- a/dotterelpaddle/dispatch/dispatcher.py
+++ b/dotterelpaddle/dispatch/dispatcher.py
@@ -145,4 +145,6 @@
 
 async def _send_whole(*, exchange: Exchange, answer: WholeAnswer) -> None:
     headers = {**answer.headers, OUTCOME_HEADER: answer.outcome.value}
-    await exchange.reply.whole(status=answer.status, headers=headers, body=answer.body)
+    await exchange.reply.send_buffered(
+        status=answer.status, headers=headers, body=answer.body
+    )
--- a/dotterelpaddle/dispatch/recording.py
+++ b/dotterelpaddle/dispatch/recording.py
@@ -45,14 +45,14 @@
             status=self._status, headers=self._headers, body=b"".join(self._parts)
         )
 
-    async def whole(
+    async def send_buffered(
         self, *, status: int, headers: Mapping[str, str], body: bytes
     ) -> None:
         """Send a whole answer at once."""
         self._keep_head(status=status, headers=headers)
         self._keep(body)
         self._finished = True
-        await self._reply.whole(status=status, headers=headers, body=body)
+        await self._reply.send_buffered(status=status, headers=headers, body=body)
 
     async def start(self, *, status: int, headers: Mapping[str, str]) -> None:
         """Send the status line and headers."""
--- a/dotterelpaddle/entry/asgi.py
+++ b/dotterelpaddle/entry/asgi.py
@@ -235,7 +235,7 @@
         outcome = exchange.outcome or exchange.attempts.outcome
         reply = exchange.reply
         if not reply.started:
-            await reply.whole(
+            await reply.send_buffered(
                 status=error.status,
                 headers=error_headers(error=error, outcome=outcome),
                 body=error_body(
--- a/dotterelpaddle/entry/reply.py
+++ b/dotterelpaddle/entry/reply.py
@@ -44,7 +44,7 @@
         """The status that was sent, 0 before."""
         return self._status
 
-    async def whole(
+    async def send_buffered(
         self, *, status: int, headers: Mapping[str, str], body: bytes
     ) -> None:
         """Send a whole answer at once."""
--- a/dotterelpaddle/forwarding/app.py
+++ b/dotterelpaddle/forwarding/app.py
@@ -115,7 +115,9 @@
             request = self._protocols.decode_request(scope=scope)
         except RequestError as error:
             log.warning("request_unreadable", cause=error.message)
-            await reply.whole(status=error.status, headers=[], body=_body(error=error))
+            await reply.send_buffered(
+                status=error.status, headers=[], body=_body(error=error)
+            )
             return
         exchange = ForwardExchange(
             request=request,
@@ -197,7 +199,7 @@
         if reply.started:
             raise ReplyCut(error.message)
         status = _status(exchange=exchange, error=error)
-        await reply.whole(
+        await reply.send_buffered(
             status=status,
             headers=self._headers(exchange=exchange, status=status, error=error),
             body=_body(error=error),
--- a/dotterelpaddle/forwarding/filters.py
+++ b/dotterelpaddle/forwarding/filters.py
@@ -168,7 +168,7 @@
             case BufferedAnswer(head=head, body=body):
                 if head.status < MIN_SERVER_ERROR_STATUS:
                     exchange.attempts.deliver()
-                await exchange.reply.whole(
+                await exchange.reply.send_buffered(
                     status=head.status, headers=head.headers, body=body
                 )
             case StreamedAnswer():
--- a/dotterelpaddle/forwarding/reply.py
+++ b/dotterelpaddle/forwarding/reply.py
@@ -59,7 +59,9 @@
         """Longest seconds between two parts of its body."""
         return self._longest_pause
 
-    async def whole(self, *, status: int, headers: Headers, body: bytes) -> None:
+    async def send_buffered(
+        self, *, status: int, headers: Headers, body: bytes
+    ) -> None:
         """Send a whole answer at once."""
         length = (b"content-length", str(len(body)).encode())
         await self.start(status=status, headers=[*headers, length])
--- a/dotterelpaddle/pipeline.py
+++ b/dotterelpaddle/pipeline.py
@@ -91,7 +91,7 @@
     def started(self) -> bool:
         """Whether the status line has been sent."""
 
-    async def whole(
+    async def send_buffered(
         self, *, status: int, headers: Mapping[str, str], body: bytes
     ) -> None:
         """Send a whole answer at once."""
