--- a/dotterelpaddle/forwarding/app.py
+++ b/dotterelpaddle/forwarding/app.py
@@ -232,8 +232,8 @@
         status = reply.status
         refused = status in NOT_EXECUTED_STATUSES
         begun = seconds
-        if reply.begun_at is not None:
-            begun = reply.begun_at - exchange.received_at
+        if reply.started_at is not None:
+            begun = reply.started_at - exchange.received_at
         log.info(
             "request_ended",
             keep=refused and route is not None and not route.retryable,
--- a/dotterelpaddle/forwarding/reply.py
+++ b/dotterelpaddle/forwarding/reply.py
@@ -50,7 +50,7 @@
         return self._status
 
     @property
-    def begun_at(self) -> float | None:
+    def started_at(self) -> float | None:
         """When its first bytes were sent, None before."""
         return self._begun_at
 
