--- a/dotterelpaddle/forwarding/router.py
+++ b/dotterelpaddle/forwarding/router.py
@@ -26,7 +26,7 @@
 
 log = get_logger(name=__name__)
 
-STOP_MARGIN = 0.4
+SHUTDOWN_MARGIN_SECONDS = 0.4
 """Seconds before the process would be killed by which all has ended."""
 
 HOUSEKEEPING_PAUSE = 1.0
@@ -71,7 +71,7 @@
     """
     parts = build_components(settings=settings, surroundings=surroundings)
     app, knowledge = parts.app, parts.state
-    grace = settings.shutdown_timeout - settings.drain_time - STOP_MARGIN
+    grace = settings.shutdown_timeout - settings.drain_time - SHUTDOWN_MARGIN_SECONDS
     async with (
         open_datagrams(address=settings.peers, links=surroundings.links) as datagrams,
         anyio.create_task_group() as tasks,
