--- a/dotterelpaddle/forwarding/router.py
+++ b/dotterelpaddle/forwarding/router.py
@@ -29,7 +29,7 @@
 SHUTDOWN_MARGIN_SECONDS = 0.4
 """Seconds before the process would be killed by which all has ended."""
 
-HOUSEKEEPING_PAUSE = 1.0
+HOUSEKEEPING_INTERVAL_SECONDS = 1.0
 """Seconds between looks at idle connections and forgotten endpoints."""
 
 
@@ -127,7 +127,7 @@
 async def _keep_house(parts: Components) -> None:
     knowledge = parts.state
     while True:
-        await anyio.sleep(HOUSEKEEPING_PAUSE)
+        await anyio.sleep(HOUSEKEEPING_INTERVAL_SECONDS)
         await parts.client.discard_expired()
         known = frozenset(entry.endpoint for entry in knowledge.view.entries)
         knowledge.health.retain(endpoints=known)
