--- a/dotterelpaddle/forwarding/app.py
+++ b/dotterelpaddle/forwarding/app.py
@@ -228,7 +228,7 @@
     def _log_end(self, *, exchange: ForwardExchange) -> None:
         error, route, reply = exchange.error, exchange.route, exchange.reply
         seconds = self._clock() - exchange.received_at
-        self._metrics.ended(exchange=exchange, seconds=seconds)
+        self._metrics.count_request(exchange=exchange, seconds=seconds)
         status = reply.status
         refused = status in NOT_EXECUTED_STATUSES
         begun = seconds
--- a/dotterelpaddle/forwarding/metrics.py
+++ b/dotterelpaddle/forwarding/metrics.py
@@ -66,7 +66,7 @@
             doc="Calls to the platform's store, by what was asked and result.",
         )
 
-    def ended(self, *, exchange: ForwardExchange, seconds: float) -> None:
+    def count_request(self, *, exchange: ForwardExchange, seconds: float) -> None:
         """Count a request that ended."""
         kind = exchange.route.kind.value if exchange.route else ""
         self._requests.inc(
