--- a/dotterelpaddle/forwarding/attempts.py
+++ b/dotterelpaddle/forwarding/attempts.py
@@ -208,7 +208,7 @@
             self._waits.record_answer_start(
                 route=route, seconds=progress.first_byte_seconds
             )
-            self._metrics.begun(
+            self._metrics.observe_first_byte(
                 service=entry.service, seconds=progress.first_byte_seconds
             )
         return result
--- a/dotterelpaddle/forwarding/metrics.py
+++ b/dotterelpaddle/forwarding/metrics.py
@@ -82,7 +82,7 @@
             objective = f"{route.pause_objective:g}"
             self._pauses.observe({"objective": objective}, exchange.reply.longest_pause)
 
-    def begun(self, *, service: str, seconds: float) -> None:
+    def observe_first_byte(self, *, service: str, seconds: float) -> None:
         """Count an answer that began."""
         self._begins.observe({"service": service}, seconds)
 
