--- a/dotterelpaddle/forwarding/attempts.py
+++ b/dotterelpaddle/forwarding/attempts.py
@@ -173,7 +173,7 @@
         assert route is not None
         entry = choice.entry
         self._log_choice(exchange=exchange, choice=choice)
-        self._metrics.chosen(choice=choice)
+        self._metrics.count_choice(choice=choice)
         attempt = exchange.attempts.begin(idempotent=route.retryable)
         exchange.last_endpoint = entry.endpoint
         progress = AttemptProgress(attempt=attempt, clock=self._clock)
--- a/dotterelpaddle/forwarding/metrics.py
+++ b/dotterelpaddle/forwarding/metrics.py
@@ -86,7 +86,7 @@
         """Count an answer that began."""
         self._begins.observe({"service": service}, seconds)
 
-    def chosen(self, *, choice: Choice) -> None:
+    def count_choice(self, *, choice: Choice) -> None:
         """Count an endpoint that was chosen, by why this router chose it itself."""
         alone = choice.local_reason.value if choice.local_reason is not None else ""
         self._choices.inc({"service": choice.entry.service, "alone_because": alone})
