--- a/dotterelpaddle/forwarding/attempts.py
+++ b/dotterelpaddle/forwarding/attempts.py
@@ -336,7 +336,9 @@
                 self._health.record_timeout(entry=entry)
             case _:
                 self._health.record_hard_failure(entry=entry, cause=error.message)
-        self._metrics.failed(service=entry.service, error=type(error).__name__)
+        self._metrics.count_failed_attempt(
+            service=entry.service, error=type(error).__name__
+        )
         log.warning(
             "attempt_failed",
             request_id=exchange.request.request_id,
--- a/dotterelpaddle/forwarding/metrics.py
+++ b/dotterelpaddle/forwarding/metrics.py
@@ -91,7 +91,7 @@
         alone = choice.local_reason.value if choice.local_reason is not None else ""
         self._choices.inc({"service": choice.entry.service, "alone_because": alone})
 
-    def failed(self, *, service: str, error: str) -> None:
+    def count_failed_attempt(self, *, service: str, error: str) -> None:
         """Count an attempt that brought no answer."""
         self._failures.inc({"service": service, "error": error})
 
