--- a/dotterelpaddle/forwarding/crash_guard.py
+++ b/dotterelpaddle/forwarding/crash_guard.py
@@ -70,7 +70,7 @@
                 cause=error.message,
                 retry_after=error.retry_after,
             )
-            self._metrics.blocked(service=exchange.service or "")
+            self._metrics.count_blocked_request(service=exchange.service or "")
             raise
 
     @contextmanager
--- a/dotterelpaddle/forwarding/metrics.py
+++ b/dotterelpaddle/forwarding/metrics.py
@@ -95,7 +95,7 @@
         """Count an attempt that brought no answer."""
         self._failures.inc({"service": service, "error": error})
 
-    def blocked(self, *, service: str) -> None:
+    def count_blocked_request(self, *, service: str) -> None:
         """Count a request that was not sent as endpoints end under it."""
         self._blocked.inc({"service": service})
 
