--- a/dotterelpaddle/forwarding/metrics.py
+++ b/dotterelpaddle/forwarding/metrics.py
@@ -99,7 +99,7 @@
         """Count a request that was not sent as endpoints end under it."""
         self._blocked.inc({"service": service})
 
-    def called(self, *, what: str, result: str) -> None:
+    def count_platform_call(self, *, what: str, result: str) -> None:
         """Count a call to the platform."""
         self._calls.inc({"what": what, "result": result})
 
