--- a/dotterelpaddle/forwarding/metrics.py
+++ b/dotterelpaddle/forwarding/metrics.py
@@ -105,7 +105,7 @@
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
-class Observed:
+class MetricsSources:
     """What is read when metrics are asked for.
 
     Attributes:
@@ -133,7 +133,7 @@
         observed: Whose state is told.
     """
 
-    def __init__(self, *, metrics: ForwardMetrics, observed: Observed) -> None:
+    def __init__(self, *, metrics: ForwardMetrics, observed: MetricsSources) -> None:
         self._registry = metrics.registry
         self._observed = observed
         gauge = self._registry.gauge
--- a/dotterelpaddle/forwarding/parts.py
+++ b/dotterelpaddle/forwarding/parts.py
@@ -20,7 +20,11 @@
 from dotterelpaddle.forwarding.isolation import IsolationDetector
 from dotterelpaddle.forwarding.leaving import LeavingEndpoints
 from dotterelpaddle.forwarding.loads import LoadTracker
-from dotterelpaddle.forwarding.metrics import ForwardMetrics, MetricsPage, Observed
+from dotterelpaddle.forwarding.metrics import (
+    ForwardMetrics,
+    MetricsPage,
+    MetricsSources,
+)
 from dotterelpaddle.forwarding.notices import EndpointNotices
 from dotterelpaddle.forwarding.placement import ForwardPlacer
 from dotterelpaddle.forwarding.quiet import EndpointBackoffs
@@ -299,7 +303,7 @@
         owners=owners,
         metrics=MetricsPage(
             metrics=metrics,
-            observed=Observed(
+            observed=MetricsSources(
                 view=knowledge.view,
                 loads=knowledge.loads,
                 repeats=knowledge.retry_budget,
