--- a/dotterelpaddle/platform/decoding.py
+++ b/dotterelpaddle/platform/decoding.py
@@ -13,7 +13,7 @@
 
 T = TypeVar("T")
 
-NUMBER = (int, float)
+NUMBER_TYPES = (int, float)
 
 
 def parse(document: bytes) -> Mapping[str, Any]:
@@ -72,7 +72,7 @@
         RecordError: If it is missing or no number above or equal to 0.
     """
     value = row.get(name)
-    if isinstance(value, NUMBER) and not isinstance(value, bool) and value >= 0:
+    if isinstance(value, NUMBER_TYPES) and not isinstance(value, bool) and value >= 0:
         return value / 1000
     raise RecordError(
         f"field '{path}{name}' must be milliseconds from 0 on, not {value!r}",
@@ -87,7 +87,7 @@
         RecordError: If it is no number above or equal to 0.
     """
     value = row.get(name, default)
-    if isinstance(value, NUMBER) and not isinstance(value, bool) and value >= 0:
+    if isinstance(value, NUMBER_TYPES) and not isinstance(value, bool) and value >= 0:
         return float(value)
     raise RecordError(
         f"field '{path}{name}' must be a number from 0 on, not {value!r}",
