--- a/dotterelpaddle/platform/configuration.py
+++ b/dotterelpaddle/platform/configuration.py
@@ -18,7 +18,13 @@
     WeightedService,
 )
 from dotterelpaddle.ids import AccountId, Region, ServiceName
-from dotterelpaddle.platform.decoding import field, number, optional, parse, seconds
+from dotterelpaddle.platform.decoding import (
+    field,
+    number,
+    optional,
+    parse_object,
+    seconds,
+)
 from dotterelpaddle.platform.names import Field
 
 if TYPE_CHECKING:
@@ -41,7 +47,7 @@
         Raises:
             RecordError: If a field is missing or can't be used; it names the field.
         """
-        row = parse(document)
+        row = parse_object(document)
         routes = {
             xxh3_128_intdigest(orjson.dumps(each)): (index, each)
             for index, each in enumerate(field(row, "routes", list, ""))
--- a/dotterelpaddle/platform/decoding.py
+++ b/dotterelpaddle/platform/decoding.py
@@ -16,7 +16,7 @@
 NUMBER_TYPES = (int, float)
 
 
-def parse(document: bytes) -> Mapping[str, Any]:
+def parse_object(document: bytes) -> Mapping[str, Any]:
     """Return the object that a document holds.
 
     Raises:
--- a/dotterelpaddle/platform/endpoints.py
+++ b/dotterelpaddle/platform/endpoints.py
@@ -13,7 +13,7 @@
     endpoint_id,
 )
 from dotterelpaddle.ids import FailureDomain, Incarnation, ModelId, ServiceName
-from dotterelpaddle.platform.decoding import field, optional, parse, seconds
+from dotterelpaddle.platform.decoding import field, optional, parse_object, seconds
 from dotterelpaddle.platform.names import Field
 
 if TYPE_CHECKING:
@@ -36,7 +36,7 @@
         RecordError: If a field is missing or can't be used; it names the field.
             Who wrote such a row is no endpoint that could be relied on.
     """
-    row = parse(document)
+    row = parse_object(document)
     path = f"{name}."
     _check_unused(row, path)
     address = field(row, "address", str, path)
--- a/dotterelpaddle/platform/engines.py
+++ b/dotterelpaddle/platform/engines.py
@@ -13,7 +13,7 @@
 from dotterelpaddle.forwarding.model import endpoint_id
 from dotterelpaddle.ids import ModelId
 from dotterelpaddle.network import LinkedBackend
-from dotterelpaddle.platform.decoding import parse
+from dotterelpaddle.platform.decoding import parse_object
 from dotterelpaddle.platform.endpoints import decode_incarnation
 from dotterelpaddle.platform.names import Call
 from dotterelpaddle.platform.protocols import says_it_leaves
@@ -93,7 +93,7 @@
         EndpointError: If it can't be read.
     """
     try:
-        document = parse(content)
+        document = parse_object(content)
         incarnation = decode_incarnation(document, f"{entry.endpoint}.")
         parts = tuple(
             part_tag(
--- a/dotterelpaddle/platform/operator_rows.py
+++ b/dotterelpaddle/platform/operator_rows.py
@@ -9,7 +9,7 @@
 from dotterelpaddle.forwarding.interface import OperatorUpdate
 from dotterelpaddle.ids import FailureDomain, Revision
 from dotterelpaddle.logs import get_logger
-from dotterelpaddle.platform.decoding import parse
+from dotterelpaddle.platform.decoding import parse_object
 from dotterelpaddle.platform.names import CONFIGURATION_KEY, EVACUATION_PREFIX
 from dotterelpaddle.platform.rows import row_value
 
@@ -90,7 +90,7 @@
         )
     removed = bool(row.get("removed"))
     if not removed:
-        parse(row_value(row=row))
+        parse_object(row_value(row=row))
     return EvacuationChange(
         failure_domain=domain,
         revision=Revision(row["ver"]),
