--- a/dotterelpaddle/platform/configuration.py
+++ b/dotterelpaddle/platform/configuration.py
@@ -19,10 +19,10 @@
 )
 from dotterelpaddle.ids import AccountId, Region, ServiceName
 from dotterelpaddle.platform.decoding import (
-    field,
     number,
     optional,
     parse_object,
+    required_field,
     seconds,
 )
 from dotterelpaddle.platform.names import Field
@@ -50,7 +50,7 @@
         row = parse_object(document)
         routes = {
             xxh3_128_intdigest(orjson.dumps(each)): (index, each)
-            for index, each in enumerate(field(row, "routes", list, ""))
+            for index, each in enumerate(required_field(row, "routes", list, ""))
         }
         known = self._routes
         decoded = {
@@ -66,9 +66,9 @@
     row: Mapping[str, Any], routes: tuple[ForwardRoute, ...], document: bytes
 ) -> FleetConfiguration:
     return FleetConfiguration(
-        version=field(row, "version", int, ""),
+        version=required_field(row, "version", int, ""),
         routes=routes,
-        limits=_limits(field(row, "limits", dict, ""), "limits."),
+        limits=_limits(required_field(row, "limits", dict, ""), "limits."),
         accounts_by_key=_key_holders(row),
         slow_starts=_slow_starts(row),
         document=document,
@@ -76,7 +76,7 @@
 
 
 def _route(row: Mapping[str, Any], path: str) -> ForwardRoute:
-    kind = field(row, "kind", str, path)
+    kind = required_field(row, "kind", str, path)
     try:
         request_kind = RequestKind(kind)
     except ValueError:
@@ -86,9 +86,9 @@
             field=f"{path}kind",
         ) from None
     return ForwardRoute(
-        name=field(row, "name", str, path),
-        host=field(row, "host", str, path).lower(),
-        prefix=field(row, "prefix", str, path),
+        name=required_field(row, "name", str, path),
+        host=required_field(row, "host", str, path).lower(),
+        prefix=required_field(row, "prefix", str, path),
         kind=request_kind,
         services=_split(row, path),
         timeout=seconds(row, "timeoutMs", path),
@@ -116,10 +116,12 @@
 
 def _split(row: Mapping[str, Any], path: str) -> tuple[WeightedService, ...]:
     if row.get("trafficSplit"):
-        parts = field(row, "trafficSplit", list, path)
+        parts = required_field(row, "trafficSplit", list, path)
         split = tuple(
             WeightedService(
-                service=ServiceName(field(part, "service", str, f"{path}{index}.")),
+                service=ServiceName(
+                    required_field(part, "service", str, f"{path}{index}.")
+                ),
                 weight=float(part.get("weight", 0)),
             )
             for index, part in enumerate(parts)
@@ -127,14 +129,14 @@
         used = tuple(part for part in split if part.weight > 0)
         if used:
             return used
-    service = ServiceName(field(row, "service", str, path))
+    service = ServiceName(required_field(row, "service", str, path))
     return (WeightedService(service=service, weight=1.0),)
 
 
 def _limits(row: Mapping[str, Any], path: str) -> CallerLimits:
     return CallerLimits(
-        max_header_bytes=field(row, "maxHeaderBytes", int, path),
-        max_body_bytes=field(row, "maxBodyBytes", int, path),
+        max_header_bytes=required_field(row, "maxHeaderBytes", int, path),
+        max_body_bytes=required_field(row, "maxBodyBytes", int, path),
         header_timeout=seconds(row, "headerTimeoutMs", path),
         idle_timeout=seconds(row, "idleTimeoutMs", path),
     )
@@ -149,7 +151,7 @@
             rate=number(service, Field.COLD_RATE, path, default=0.0),
         )
         if slow_start.duration:
-            name = ServiceName(field(service, "name", str, path))
+            name = ServiceName(required_field(service, "name", str, path))
             slow_starts[name] = slow_start
     return slow_starts
 
@@ -158,12 +160,14 @@
     if row.get("tenants") is None:
         return None
     holders = {}
-    for index, tenant in enumerate(field(row, "tenants", list, "")):
+    for index, tenant in enumerate(required_field(row, "tenants", list, "")):
         path = f"tenants.{index}."
         rank = tenant.get("priority")
         holder = ClientAccount(
-            name=AccountId(field(tenant, "name", str, path)),
-            priority=None if rank is None else field(tenant, "priority", int, path),
+            name=AccountId(required_field(tenant, "name", str, path)),
+            priority=None
+            if rank is None
+            else required_field(tenant, "priority", int, path),
             regions=_regions(tenant, path),
         )
         for key in optional(tenant, "apiKeys", list, path, []):
--- a/dotterelpaddle/platform/decoding.py
+++ b/dotterelpaddle/platform/decoding.py
@@ -31,7 +31,7 @@
     return value
 
 
-def field(row: Mapping[str, Any], name: str, kind: type[T], path: str) -> T:
+def required_field(row: Mapping[str, Any], name: str, kind: type[T], path: str) -> T:
     """Return a field that must be there.
 
     Args:
@@ -62,7 +62,7 @@
     """
     if row.get(name) is None:
         return default
-    return field(row, name, kind, path)
+    return required_field(row, name, kind, path)
 
 
 def seconds(row: Mapping[str, Any], name: str, path: str) -> float:
--- a/dotterelpaddle/platform/endpoints.py
+++ b/dotterelpaddle/platform/endpoints.py
@@ -13,7 +13,12 @@
     endpoint_id,
 )
 from dotterelpaddle.ids import FailureDomain, Incarnation, ModelId, ServiceName
-from dotterelpaddle.platform.decoding import field, optional, parse_object, seconds
+from dotterelpaddle.platform.decoding import (
+    optional,
+    parse_object,
+    required_field,
+    seconds,
+)
 from dotterelpaddle.platform.names import Field
 
 if TYPE_CHECKING:
@@ -39,7 +44,7 @@
     row = parse_object(document)
     path = f"{name}."
     _check_unused(row, path)
-    address = field(row, "address", str, path)
+    address = required_field(row, "address", str, path)
     try:
         parsed = Address.parse(text=address)
     except ValueError as error:
@@ -48,9 +53,9 @@
     return EndpointEntry(
         endpoint=endpoint_id(name=name, incarnation=incarnation),
         incarnation=incarnation,
-        service=ServiceName(field(row, "service", str, path)),
+        service=ServiceName(required_field(row, "service", str, path)),
         address=parsed,
-        failure_domain=FailureDomain(field(row, "zone", str, path)),
+        failure_domain=FailureDomain(required_field(row, "zone", str, path)),
         slots=_slots(row, path),
         state=_state(row, path),
         models=_models(row, path),
@@ -77,12 +82,12 @@
 
 def _check_unused(row: Mapping[str, Any], path: str) -> None:
     """Check fields that say whether an endpoint wrote the row, and else nothing."""
-    field(row, Field.SOFTWARE, str, path)
-    field(row, Field.CHANGES, int, path)
+    required_field(row, Field.SOFTWARE, str, path)
+    required_field(row, Field.CHANGES, int, path)
 
 
 def _slots(row: Mapping[str, Any], path: str) -> int:
-    slots = field(row, "slots", int, path)
+    slots = required_field(row, "slots", int, path)
     if slots < 1:
         raise RecordError(
             f"field '{path}slots' must be 1 or more, not {slots}",
@@ -92,7 +97,7 @@
 
 
 def _state(row: Mapping[str, Any], path: str) -> EndpointState:
-    state = field(row, "state", str, path)
+    state = required_field(row, "state", str, path)
     try:
         return EndpointState(state)
     except ValueError as error:
@@ -112,5 +117,6 @@
                 field=f"{path}models",
             )
     return frozenset(
-        ModelId(field(model, "name", str, f"{path}models.")) for model in models
+        ModelId(required_field(model, "name", str, f"{path}models."))
+        for model in models
     )
