--- a/dotterelpaddle/platform/configuration.py
+++ b/dotterelpaddle/platform/configuration.py
@@ -20,7 +20,7 @@
 from dotterelpaddle.ids import AccountId, Region, ServiceName
 from dotterelpaddle.platform.decoding import (
     number,
-    optional,
+    optional_field,
     parse_object,
     required_field,
     seconds,
@@ -93,10 +93,10 @@
         services=_split(row, path),
         timeout=seconds(row, "timeoutMs", path),
         latency_objective=seconds(row, "sloMs", path) if "sloMs" in row else 0.0,
-        max_attempts=max(1, optional(row, "maxAttempts", int, path, 1)),
-        priority=optional(row, "priority", int, path, 5),
-        public=optional(row, "public", bool, path, False),
-        resumable=optional(row, "streamResume", bool, path, False),
+        max_attempts=max(1, optional_field(row, "maxAttempts", int, path, 1)),
+        priority=optional_field(row, "priority", int, path, 5),
+        public=optional_field(row, "public", bool, path, False),
+        resumable=optional_field(row, "streamResume", bool, path, False),
         gap_objective=(
             seconds(row, "gapTargetMs", path) if "gapTargetMs" in row else 0.0
         ),
@@ -105,7 +105,7 @@
 
 
 def _regions(row: Mapping[str, Any], path: str) -> frozenset[Region]:
-    names = optional(row, Field.REGIONS, list, path, [])
+    names = optional_field(row, Field.REGIONS, list, path, [])
     if not all(isinstance(name, str) for name in names):
         raise RecordError(
             f"field '{path}{Field.REGIONS}' must hold names of regions, not {names!r}",
@@ -144,7 +144,7 @@
 
 def _slow_starts(row: Mapping[str, Any]) -> dict[ServiceName, SlowStart]:
     slow_starts = {}
-    for index, service in enumerate(optional(row, "services", list, "", [])):
+    for index, service in enumerate(optional_field(row, "services", list, "", [])):
         path = f"services.{index}."
         slow_start = SlowStart(
             duration=number(service, Field.COLD_TIME, path, default=0.0),
@@ -170,6 +170,6 @@
             else required_field(tenant, "priority", int, path),
             regions=_regions(tenant, path),
         )
-        for key in optional(tenant, "apiKeys", list, path, []):
+        for key in optional_field(tenant, "apiKeys", list, path, []):
             holders[key] = holder
     return holders
--- a/dotterelpaddle/platform/decoding.py
+++ b/dotterelpaddle/platform/decoding.py
@@ -52,7 +52,7 @@
     )
 
 
-def optional(
+def optional_field(
     row: Mapping[str, Any], name: str, kind: type[T], path: str, default: T
 ) -> T:
     """Return a field, or a default where it is missing.
--- a/dotterelpaddle/platform/endpoints.py
+++ b/dotterelpaddle/platform/endpoints.py
@@ -14,7 +14,7 @@
 )
 from dotterelpaddle.ids import FailureDomain, Incarnation, ModelId, ServiceName
 from dotterelpaddle.platform.decoding import (
-    optional,
+    optional_field,
     parse_object,
     required_field,
     seconds,
@@ -71,7 +71,7 @@
     Raises:
         RecordError: If it is something else than a whole number of milliseconds.
     """
-    started_at = optional(row, Field.STARTED_AT, int, path, UNKNOWN_INCARNATION)
+    started_at = optional_field(row, Field.STARTED_AT, int, path, UNKNOWN_INCARNATION)
     if started_at < 0:
         raise RecordError(
             f"field '{path}{Field.STARTED_AT}' must be from 0 on, not {started_at}",
@@ -109,7 +109,7 @@
 
 
 def _models(row: Mapping[str, Any], path: str) -> frozenset[ModelId]:
-    models = optional(row, "models", list, path, [])
+    models = optional_field(row, "models", list, path, [])
     for model in models:
         if not isinstance(model, dict):
             raise RecordError(
