--- a/dotterelpaddle/platform/configuration.py
+++ b/dotterelpaddle/platform/configuration.py
@@ -23,7 +23,7 @@
     optional_field,
     parse_object,
     required_field,
-    seconds,
+    seconds_field,
 )
 from dotterelpaddle.platform.names import Field
 
@@ -91,14 +91,14 @@
         prefix=required_field(row, "prefix", str, path),
         kind=request_kind,
         services=_split(row, path),
-        timeout=seconds(row, "timeoutMs", path),
-        latency_objective=seconds(row, "sloMs", path) if "sloMs" in row else 0.0,
+        timeout=seconds_field(row, "timeoutMs", path),
+        latency_objective=seconds_field(row, "sloMs", path) if "sloMs" in row else 0.0,
         max_attempts=max(1, optional_field(row, "maxAttempts", int, path, 1)),
         priority=optional_field(row, "priority", int, path, 5),
         public=optional_field(row, "public", bool, path, False),
         resumable=optional_field(row, "streamResume", bool, path, False),
         gap_objective=(
-            seconds(row, "gapTargetMs", path) if "gapTargetMs" in row else 0.0
+            seconds_field(row, "gapTargetMs", path) if "gapTargetMs" in row else 0.0
         ),
         regions=_regions(row, path),
     )
@@ -137,8 +137,8 @@
     return CallerLimits(
         max_header_bytes=required_field(row, "maxHeaderBytes", int, path),
         max_body_bytes=required_field(row, "maxBodyBytes", int, path),
-        header_timeout=seconds(row, "headerTimeoutMs", path),
-        idle_timeout=seconds(row, "idleTimeoutMs", path),
+        header_timeout=seconds_field(row, "headerTimeoutMs", path),
+        idle_timeout=seconds_field(row, "idleTimeoutMs", path),
     )
 
 
--- a/dotterelpaddle/platform/decoding.py
+++ b/dotterelpaddle/platform/decoding.py
@@ -65,7 +65,7 @@
     return required_field(row, name, kind, path)
 
 
-def seconds(row: Mapping[str, Any], name: str, path: str) -> float:
+def seconds_field(row: Mapping[str, Any], name: str, path: str) -> float:
     """Return a field that holds milliseconds, in seconds.
 
     Raises:
--- a/dotterelpaddle/platform/endpoints.py
+++ b/dotterelpaddle/platform/endpoints.py
@@ -17,7 +17,7 @@
     optional_field,
     parse_object,
     required_field,
-    seconds,
+    seconds_field,
 )
 from dotterelpaddle.platform.names import Field
 
@@ -59,7 +59,7 @@
         slots=_slots(row, path),
         state=_state(row, path),
         models=_models(row, path),
-        cold_left=seconds(row, Field.COLD_LEFT, path),
+        cold_left=seconds_field(row, Field.COLD_LEFT, path),
         revision=revision,
         document=document,
     )
