--- a/dotterelpaddle/platform/configuration.py
+++ b/dotterelpaddle/platform/configuration.py
@@ -19,7 +19,7 @@
 )
 from dotterelpaddle.ids import AccountId, Region, ServiceName
 from dotterelpaddle.platform.decoding import (
-    number,
+    number_field,
     optional_field,
     parse_object,
     required_field,
@@ -147,8 +147,8 @@
     for index, service in enumerate(optional_field(row, "services", list, "", [])):
         path = f"services.{index}."
         slow_start = SlowStart(
-            duration=number(service, Field.COLD_TIME, path, default=0.0),
-            rate=number(service, Field.COLD_RATE, path, default=0.0),
+            duration=number_field(service, Field.COLD_TIME, path, default=0.0),
+            rate=number_field(service, Field.COLD_RATE, path, default=0.0),
         )
         if slow_start.duration:
             name = ServiceName(required_field(service, "name", str, path))
--- a/dotterelpaddle/platform/decoding.py
+++ b/dotterelpaddle/platform/decoding.py
@@ -80,7 +80,9 @@
     )
 
 
-def number(row: Mapping[str, Any], name: str, path: str, *, default: float) -> float:
+def number_field(
+    row: Mapping[str, Any], name: str, path: str, *, default: float
+) -> float:
     """Return a field that holds a number, or a default where it is missing.
 
     Raises:
