--- a/dotterelpaddle/daemon/process.py
+++ b/dotterelpaddle/daemon/process.py
@@ -14,7 +14,7 @@
 from dotterelpaddle.line_logs import LineSink
 from dotterelpaddle.links import Links
 from dotterelpaddle.logs import Level, get_logger, logs_to
-from dotterelpaddle.platform.documents import PlatformDocuments
+from dotterelpaddle.platform.documents import PlatformDocumentDecoder
 from dotterelpaddle.platform.engines import EngineCaches
 from dotterelpaddle.platform.protocols import PlatformProtocols
 from dotterelpaddle.platform.store import StoreSource
@@ -43,7 +43,7 @@
 
 async def _run(settings: ForwardSettings, listener: socket.socket) -> None:
     links = Links()
-    documents = PlatformDocuments()
+    documents = PlatformDocumentDecoder()
     source = StoreSource(address=settings.store, documents=documents, links=links)
     surroundings = Dependencies(
         source=source,
--- a/dotterelpaddle/platform/documents.py
+++ b/dotterelpaddle/platform/documents.py
@@ -12,7 +12,7 @@
     from dotterelpaddle.ids import EndpointName, Revision
 
 
-class PlatformDocuments:
+class PlatformDocumentDecoder:
     """Decodes the values of the store's rows."""
 
     def __init__(self) -> None:
--- a/dotterelpaddle/tests/forwarding/crash_world.py
+++ b/dotterelpaddle/tests/forwarding/crash_world.py
@@ -19,7 +19,7 @@
 from dotterelpaddle.address import Address
 from dotterelpaddle.forwarding.interface import EndpointsUpdate
 from dotterelpaddle.ids import EndpointName, FailureDomain, Revision
-from dotterelpaddle.platform.documents import PlatformDocuments
+from dotterelpaddle.platform.documents import PlatformDocumentDecoder
 from dotterelpaddle.platform.names import Header
 from dotterelpaddle.platform.protocols import PlatformProtocols
 from dotterelpaddle.standins.runner import (
@@ -149,7 +149,7 @@
         self._revision = 1
         self._entries: dict[str, dict[str, Any]] = {}
         self._live: dict[str, Engine] = {}
-        self._documents = PlatformDocuments()
+        self._documents = PlatformDocumentDecoder()
         self._configuration = orjson.dumps(configuration())
         self.hosts = [
             Router(number=number, domain=DOMAINS[number % len(DOMAINS)], link=LINK)
--- a/dotterelpaddle/tests/forwarding/harness.py
+++ b/dotterelpaddle/tests/forwarding/harness.py
@@ -18,7 +18,7 @@
 from dotterelpaddle.forwarding.settings import ForwardSettings
 from dotterelpaddle.ids import FailureDomain, RouterId
 from dotterelpaddle.links import Links
-from dotterelpaddle.platform.documents import PlatformDocuments
+from dotterelpaddle.platform.documents import PlatformDocumentDecoder
 from dotterelpaddle.platform.engines import EngineCaches
 from dotterelpaddle.platform.names import Header, Table
 from dotterelpaddle.platform.protocols import PlatformProtocols
@@ -126,7 +126,7 @@
         links = Links()
         source = StoreSource(
             address=fields.pop("store", self.store_address),
-            documents=PlatformDocuments(),
+            documents=PlatformDocumentDecoder(),
             links=links,
         )
         settings = ForwardSettings(
@@ -151,7 +151,7 @@
                 surroundings=Dependencies(
                     source=source,
                     protocols=PlatformProtocols(),
-                    documents=PlatformDocuments(),
+                    documents=PlatformDocumentDecoder(),
                     caches_reader=EngineCaches(links=links),
                     links=links,
                     clock=monotonic,
--- a/dotterelpaddle/tests/forwarding/test_starts.py
+++ b/dotterelpaddle/tests/forwarding/test_starts.py
@@ -23,13 +23,13 @@
     decode_snapshot,
     encode_snapshot,
 )
-from dotterelpaddle.platform.documents import PlatformDocuments
+from dotterelpaddle.platform.documents import PlatformDocumentDecoder
 from dotterelpaddle.platform.engines import read_cached_parts
 from dotterelpaddle.platform.rows import EntryRows
 
 SERVICE = ServiceName("records")
 NAMES = [EndpointName("a"), EndpointName("b")]
-DOCUMENTS = PlatformDocuments()
+DOCUMENTS = PlatformDocumentDecoder()
 FIRST_START = 1_733_000_000_000
 FOREIGN = [b"", b"\xff", b"[]", b'{"service":"records"}', b'{"state":"resting"}']
 
--- a/dotterelpaddle/tests/peers/test_snapshot.py
+++ b/dotterelpaddle/tests/peers/test_snapshot.py
@@ -22,11 +22,11 @@
     decode_snapshot,
     encode_snapshot,
 )
-from dotterelpaddle.platform.documents import PlatformDocuments
+from dotterelpaddle.platform.documents import PlatformDocumentDecoder
 from dotterelpaddle.standins.runner import RunnerStandin
 from dotterelpaddle.tests.forwarding.harness import ANYWHERE, SERVICE, configuration
 
-DOCUMENTS = PlatformDocuments()
+DOCUMENTS = PlatformDocumentDecoder()
 NOTHING_KNOWN = SnapshotRequest(revision=None, uses=True)
 
 
--- a/dotterelpaddle/tests/platform/test_protocols.py
+++ b/dotterelpaddle/tests/platform/test_protocols.py
@@ -10,12 +10,12 @@
 from dotterelpaddle.forwarding.interface import PromptPart, RequestMetadata
 from dotterelpaddle.forwarding.model import ClientAccount, EndpointState, RequestKind
 from dotterelpaddle.ids import AccountId, EndpointName, Revision
-from dotterelpaddle.platform.documents import PlatformDocuments
+from dotterelpaddle.platform.documents import PlatformDocumentDecoder
 from dotterelpaddle.platform.names import Header
 from dotterelpaddle.platform.protocols import PlatformProtocols
 from dotterelpaddle.tests.forwarding.harness import configuration, route
 
-PROTOCOLS, DOCUMENTS = PlatformProtocols(), PlatformDocuments()
+PROTOCOLS, DOCUMENTS = PlatformProtocols(), PlatformDocumentDecoder()
 ENTRY = {
     "service": "records",
     "address": "10.0.0.1:80",
--- a/dotterelpaddle/tests/platform/test_rows.py
+++ b/dotterelpaddle/tests/platform/test_rows.py
@@ -12,7 +12,7 @@
 from dotterelpaddle.address import Address
 from dotterelpaddle.exceptions import PlatformUnavailable
 from dotterelpaddle.forwarding import unusable
-from dotterelpaddle.platform.documents import PlatformDocuments
+from dotterelpaddle.platform.documents import PlatformDocumentDecoder
 from dotterelpaddle.platform.rows import EntryRows, check_rows
 from dotterelpaddle.standins.runner import RunnerStandin
 
@@ -50,7 +50,7 @@
     ids=["no text", "nothing", "null", "a list", "unknown state", "fields missing"],
 )
 def test_row_of_another_writer_names_no_endpoint(value: object) -> None:
-    rows = EntryRows(documents=PlatformDocuments())
+    rows = EntryRows(documents=PlatformDocumentDecoder())
 
     entries, removed = rows.decode(rows=[_row("a", 4, VALUE), _row("b", 5, value)])
 
@@ -59,7 +59,7 @@
 
 
 def test_row_without_a_readable_value_names_no_endpoint() -> None:
-    rows = EntryRows(documents=PlatformDocuments())
+    rows = EntryRows(documents=PlatformDocumentDecoder())
     without: list[dict[str, Any]] = [
         {"key": "a", "ver": 4},
         {"key": "b", "ver": 5, "value": 7},
@@ -75,7 +75,7 @@
 
 def test_fault_of_a_row_is_logged_once(monkeypatch: pytest.MonkeyPatch) -> None:
     """A row that is written anew with each heartbeat keeps its fault."""
-    rows, lines = EntryRows(documents=PlatformDocuments()), _Lines(monkeypatch)
+    rows, lines = EntryRows(documents=PlatformDocumentDecoder()), _Lines(monkeypatch)
 
     for revision in range(1, 50):
         rows.decode(rows=[_row("a", revision, {**VALUE, "state": "resting"})])
@@ -91,7 +91,7 @@
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     entries, lines = unusable.UnusableEntries(), _Lines(monkeypatch)
-    rows = EntryRows(documents=PlatformDocuments())
+    rows = EntryRows(documents=PlatformDocumentDecoder())
     rows._unusable = entries
 
     for number in range(unusable.MAX_REMEMBERED_ENTRIES + 10):
@@ -103,7 +103,7 @@
 
 @given(st.binary(max_size=64))
 def test_noise_names_no_endpoint(noise: bytes) -> None:
-    entries, removed = EntryRows(documents=PlatformDocuments()).decode(
+    entries, removed = EntryRows(documents=PlatformDocumentDecoder()).decode(
         rows=[_row("a", 1, noise)]
     )
 
