--- a/dotterelpaddle/platform/engines.py
+++ b/dotterelpaddle/platform/engines.py
@@ -22,7 +22,7 @@
     from dotterelpaddle.forwarding.model import EndpointEntry
     from dotterelpaddle.links import Links
 
-ANSWER_TIME = 0.5
+ANSWER_TIMEOUT_SECONDS = 0.5
 """Seconds that an engine gets for its list; it is of use only at once."""
 
 OK = 200
@@ -52,7 +52,7 @@
         )
         peer = entry.endpoint
         try:
-            with anyio.fail_after(ANSWER_TIME):
+            with anyio.fail_after(ANSWER_TIMEOUT_SECONDS):
                 async with httpcore.AsyncConnectionPool(
                     network_backend=self._backend
                 ) as pool:
