--- a/dotterelpaddle/daemon/process.py
+++ b/dotterelpaddle/daemon/process.py
@@ -15,7 +15,7 @@
 from dotterelpaddle.links import Links
 from dotterelpaddle.logs import Level, get_logger, logs_to
 from dotterelpaddle.platform.documents import PlatformDocumentDecoder
-from dotterelpaddle.platform.engines import EngineCaches
+from dotterelpaddle.platform.engines import EngineCacheReader
 from dotterelpaddle.platform.protocols import PlatformProtocols
 from dotterelpaddle.platform.store import StoreSource
 
@@ -49,7 +49,7 @@
         source=source,
         protocols=PlatformProtocols(),
         documents=documents,
-        caches_reader=EngineCaches(links=links),
+        caches_reader=EngineCacheReader(links=links),
         links=links,
         clock=monotonic,
     )
--- a/dotterelpaddle/platform/engines.py
+++ b/dotterelpaddle/platform/engines.py
@@ -28,7 +28,7 @@
 OK = 200
 
 
-class EngineCaches:
+class EngineCacheReader:
     """Reads the lists of parts that engines keep.
 
     Args:
--- a/dotterelpaddle/tests/forwarding/harness.py
+++ b/dotterelpaddle/tests/forwarding/harness.py
@@ -19,7 +19,7 @@
 from dotterelpaddle.ids import FailureDomain, RouterId
 from dotterelpaddle.links import Links
 from dotterelpaddle.platform.documents import PlatformDocumentDecoder
-from dotterelpaddle.platform.engines import EngineCaches
+from dotterelpaddle.platform.engines import EngineCacheReader
 from dotterelpaddle.platform.names import Header, Table
 from dotterelpaddle.platform.protocols import PlatformProtocols
 from dotterelpaddle.platform.store import StoreSource
@@ -152,7 +152,7 @@
                     source=source,
                     protocols=PlatformProtocols(),
                     documents=PlatformDocumentDecoder(),
-                    caches_reader=EngineCaches(links=links),
+                    caches_reader=EngineCacheReader(links=links),
                     links=links,
                     clock=monotonic,
                 ),
