--- a/dotterelpaddle/platform/engines.py
+++ b/dotterelpaddle/platform/engines.py
@@ -71,14 +71,14 @@
             raise EndpointError(
                 f"answered {response.status} when asked for its cache", peer=peer
             )
-        return read_cached_parts(
+        return decode_cached_parts(
             content=response.content,
             entry=entry,
             leaving=says_it_leaves(headers=response.headers),
         )
 
 
-def read_cached_parts(
+def decode_cached_parts(
     *, content: bytes, entry: EndpointEntry, leaving: bool = False
 ) -> CachedParts:
     """Decode a list; each row is an unused text, a part, its tokens, a model.
--- a/dotterelpaddle/tests/forwarding/test_starts.py
+++ b/dotterelpaddle/tests/forwarding/test_starts.py
@@ -24,7 +24,7 @@
     encode_snapshot,
 )
 from dotterelpaddle.platform.documents import PlatformDocumentDecoder
-from dotterelpaddle.platform.engines import read_cached_parts
+from dotterelpaddle.platform.engines import decode_cached_parts
 from dotterelpaddle.platform.rows import EntryRows
 
 SERVICE = ServiceName("records")
@@ -225,7 +225,7 @@
     _hear(view, (1, 0))
     content = orjson.dumps({"born": FIRST_START + 5, "held": [["", "5c1e", 800, "m"]]})
 
-    cached = read_cached_parts(content=content, entry=view.entries[0], leaving=True)
+    cached = decode_cached_parts(content=content, entry=view.entries[0], leaving=True)
     _hear(view, (2, 5))
 
     assert [entry.endpoint for entry in view.entries] == [cached.endpoint]
@@ -237,7 +237,7 @@
     _hear(view, (1, 0))
     content = orjson.dumps({"held": [["", "5c1e", 800, "m"]]})
 
-    cached = read_cached_parts(content=content, entry=view.entries[0], leaving=True)
+    cached = decode_cached_parts(content=content, entry=view.entries[0], leaving=True)
 
     assert cached.endpoint == view.entries[0].endpoint
     assert len(cached.parts) == 1
