--- a/dotterelpaddle/platform/names.py
+++ b/dotterelpaddle/platform/names.py
@@ -34,7 +34,7 @@
     FETCH_FROM = b"kv-fetch"
 
 
-OURS_ALONE = frozenset(
+ROUTER_ONLY_HEADERS = frozenset(
     {
         Header.TIME_LEFT,
         Header.KEY,
--- a/dotterelpaddle/platform/protocols.py
+++ b/dotterelpaddle/platform/protocols.py
@@ -14,7 +14,7 @@
     RequestMetadata,
 )
 from dotterelpaddle.ids import ModelId, RequestId
-from dotterelpaddle.platform.names import HOP_BY_HOP, OURS_ALONE, Header
+from dotterelpaddle.platform.names import HOP_BY_HOP, ROUTER_ONLY_HEADERS, Header
 from dotterelpaddle.platform.retry_after import decode_retry_after
 
 if TYPE_CHECKING:
@@ -57,7 +57,7 @@
             headers=[
                 (name, value)
                 for name, value in raw
-                if name not in dropped and name not in OURS_ALONE
+                if name not in dropped and name not in ROUTER_ONLY_HEADERS
             ],
             key=_text(headers, Header.KEY),
             time_left=_time_left(headers),
