--- a/dotterelpaddle/platform/names.py
+++ b/dotterelpaddle/platform/names.py
@@ -52,7 +52,7 @@
 )
 """Headers that an endpoint gets from the router or not at all."""
 
-HOP_BY_HOP = frozenset(
+HOP_BY_HOP_HEADERS = frozenset(
     {
         b"connection",
         b"content-length",
--- a/dotterelpaddle/platform/protocols.py
+++ b/dotterelpaddle/platform/protocols.py
@@ -14,7 +14,11 @@
     RequestMetadata,
 )
 from dotterelpaddle.ids import ModelId, RequestId
-from dotterelpaddle.platform.names import HOP_BY_HOP, ROUTER_ONLY_HEADERS, Header
+from dotterelpaddle.platform.names import (
+    HOP_BY_HOP_HEADERS,
+    ROUTER_ONLY_HEADERS,
+    Header,
+)
 from dotterelpaddle.platform.retry_after import decode_retry_after
 
 if TYPE_CHECKING:
@@ -45,7 +49,7 @@
             raise MalformedRequest(
                 f"send an id of the request in {Header.REQUEST_ID.decode()}"
             )
-        dropped = HOP_BY_HOP | _named_by_connection(headers)
+        dropped = HOP_BY_HOP_HEADERS | _named_by_connection(headers)
         query = scope["query_string"]
         raw_path = scope["raw_path"]
         return ForwardRequest(
@@ -89,7 +93,7 @@
         """Decode the head of an endpoint's answer."""
         lowered = [(name.lower(), value) for name, value in headers]
         by_name = dict(lowered)
-        dropped = HOP_BY_HOP | _named_by_connection(by_name)
+        dropped = HOP_BY_HOP_HEADERS | _named_by_connection(by_name)
         return AnswerHead(
             status=status,
             headers=[(name, value) for name, value in lowered if name not in dropped],
