--- a/dotterelpaddle/platform/names.py
+++ b/dotterelpaddle/platform/names.py
@@ -99,7 +99,7 @@
 CONFIGURATION_KEY = "config"
 """Key of the row in the operator's table that holds the whole configuration."""
 
-EVACUATION_PREFIX = "evacuate/"
+EVACUATION_KEY_PREFIX = "evacuate/"
 """Begins the key of a row in the operator's table that asks for the evacuation of the
 failure domain which the rest of the key names, as long as the row exists."""
 
--- a/dotterelpaddle/platform/operator_rows.py
+++ b/dotterelpaddle/platform/operator_rows.py
@@ -10,7 +10,7 @@
 from dotterelpaddle.ids import FailureDomain, Revision
 from dotterelpaddle.logs import get_logger
 from dotterelpaddle.platform.decoding import parse_object
-from dotterelpaddle.platform.names import CONFIGURATION_KEY, EVACUATION_PREFIX
+from dotterelpaddle.platform.names import CONFIGURATION_KEY, EVACUATION_KEY_PREFIX
 from dotterelpaddle.platform.rows import row_value
 
 if TYPE_CHECKING:
@@ -46,7 +46,7 @@
         evacuations: list[EvacuationChange] = []
         unclear: set[FailureDomain] = set()
         for row in rows:
-            if not row["key"].startswith(EVACUATION_PREFIX):
+            if not row["key"].startswith(EVACUATION_KEY_PREFIX):
                 continue
             try:
                 evacuations.append(decode_evacuation(row=row))
@@ -99,7 +99,7 @@
 
 
 def _evacuated_domain(row: Row) -> FailureDomain:
-    return FailureDomain(row["key"].removeprefix(EVACUATION_PREFIX))
+    return FailureDomain(row["key"].removeprefix(EVACUATION_KEY_PREFIX))
 
 
 def _log_unusable(event: str, row: Row, error: RecordError) -> None:
