--- a/dotterelpaddle/platform/engines.py
+++ b/dotterelpaddle/platform/engines.py
@@ -15,7 +15,7 @@
 from dotterelpaddle.network import LinkedBackend
 from dotterelpaddle.platform.decoding import parse_object
 from dotterelpaddle.platform.endpoints import decode_incarnation
-from dotterelpaddle.platform.names import Call
+from dotterelpaddle.platform.names import CallPath
 from dotterelpaddle.platform.protocols import says_it_leaves
 
 if TYPE_CHECKING:
@@ -48,7 +48,7 @@
             scheme=b"http",
             host=entry.address.host.encode(),
             port=entry.address.port,
-            target=Call.CACHE_LIST.encode(),
+            target=CallPath.CACHE_LIST.encode(),
         )
         peer = entry.endpoint
         try:
--- a/dotterelpaddle/platform/names.py
+++ b/dotterelpaddle/platform/names.py
@@ -104,7 +104,7 @@
 failure domain which the rest of the key names, as long as the row exists."""
 
 
-class Call:
+class CallPath:
     """Paths of calls to the store and to engines."""
 
     READ = "/-/rows-get"
--- a/dotterelpaddle/platform/store.py
+++ b/dotterelpaddle/platform/store.py
@@ -13,7 +13,7 @@
 from dotterelpaddle.forwarding.interface import EndpointsUpdate
 from dotterelpaddle.ids import Revision
 from dotterelpaddle.network import LinkedBackend
-from dotterelpaddle.platform.names import Call, Table
+from dotterelpaddle.platform.names import CallPath, Table
 from dotterelpaddle.platform.operator_rows import OperatorRows
 from dotterelpaddle.platform.rows import EntryRows, check_rows
 
@@ -98,7 +98,7 @@
         query = {"table": table, "part": "", "limit": PAGE}
         first: Revision | None = None
         while True:
-            answer = await self._get(path=Call.READ, query=query)
+            answer = await self._get(path=CallPath.READ, query=query)
             rows += answer["rows"]
             # Later pages may hold later changes, which the next watch tells again.
             first = _revision(answer) if first is None else first
@@ -108,7 +108,7 @@
 
     async def _watch(self, *, table: str, after: Revision, wait: float) -> Row:
         query = {"table": table, "afterRev": after, "waitMs": round(wait * 1000)}
-        return await self._get(path=Call.WATCH, query=query, wait=wait)
+        return await self._get(path=CallPath.WATCH, query=query, wait=wait)
 
     async def _get(
         self, *, path: str, query: Mapping[str, Any], wait: float = 0.0
--- a/dotterelpaddle/standins/store.py
+++ b/dotterelpaddle/standins/store.py
@@ -13,7 +13,7 @@
 
 from dotterelpaddle.address import Address
 from dotterelpaddle.http_server import ReplyCut, serve
-from dotterelpaddle.platform.names import CONFIGURATION_KEY, Call, Table
+from dotterelpaddle.platform.names import CONFIGURATION_KEY, CallPath, Table
 
 if TYPE_CHECKING:
     from collections.abc import AsyncIterator, Mapping
@@ -115,9 +115,9 @@
         self.calls.append(scope["path"])
         await self._fail(send=send)
         match scope["path"]:
-            case Call.READ:
+            case CallPath.READ:
                 await _reply(send, 200, self._rows(table=query["table"]))
-            case Call.WATCH:
+            case CallPath.WATCH:
                 await self._watch(send=send, query=query)
             case _:
                 await _reply(send, NOT_FOUND, {})
