--- a/dotterelpaddle/platform/names.py
+++ b/dotterelpaddle/platform/names.py
@@ -10,7 +10,7 @@
     # while the endpoints that we try get the same.
     REQUEST_ID = b"x-dotterelpaddle-attempt-id"
     # Milliseconds that are left, not a moment.
-    TIME_LEFT = b"x-dotterelpaddle-deadline-ms"
+    TIME_LEFT_MS = b"x-dotterelpaddle-deadline-ms"
     KEY = b"x-api-key"
     ACCOUNT = b"x-dotterelpaddle-tenant"
     EXPECTED_ENDPOINT = b"x-dotterelpaddle-expect-runner"
@@ -36,7 +36,7 @@
 
 ROUTER_ONLY_HEADERS = frozenset(
     {
-        Header.TIME_LEFT,
+        Header.TIME_LEFT_MS,
         Header.KEY,
         Header.ACCOUNT,
         Header.EXPECTED_ENDPOINT,
--- a/dotterelpaddle/platform/protocols.py
+++ b/dotterelpaddle/platform/protocols.py
@@ -76,7 +76,7 @@
         """Make the headers of a request to an endpoint."""
         headers = list(request.headers)
         headers.append((Header.EXPECTED_ENDPOINT, delivery.endpoint.encode()))
-        headers.append((Header.TIME_LEFT, b"%d" % (delivery.time_left * 1000)))
+        headers.append((Header.TIME_LEFT_MS, b"%d" % (delivery.time_left * 1000)))
         if delivery.account is not None:
             headers.append((Header.ACCOUNT, delivery.account.name.encode()))
         if delivery.priority is not None and request.prompt:
@@ -129,7 +129,7 @@
 
 
 def _time_left(headers: Mapping[bytes, bytes]) -> float | None:
-    text = _text(headers, Header.TIME_LEFT)
+    text = _text(headers, Header.TIME_LEFT_MS)
     if not text:
         return None
     try:
--- a/dotterelpaddle/tests/forwarding/crash_callers.py
+++ b/dotterelpaddle/tests/forwarding/crash_callers.py
@@ -109,7 +109,7 @@
         headers = {
             b"host": HOST.encode(),
             Header.REQUEST_ID: request_id,
-            Header.TIME_LEFT: b"%d" % (PATIENCE * 1000),
+            Header.TIME_LEFT_MS: b"%d" % (PATIENCE * 1000),
             Header.KEY: KEY.encode(),
         }
         return {
--- a/dotterelpaddle/tests/forwarding/harness.py
+++ b/dotterelpaddle/tests/forwarding/harness.py
@@ -193,7 +193,7 @@
         return {
             b"host": HOST.encode(),
             Header.REQUEST_ID: b"request-%d" % next(_numbers),
-            Header.TIME_LEFT: b"5000",
+            Header.TIME_LEFT_MS: b"5000",
             Header.KEY: KEY.encode(),
             **(extra or {}),
         }
--- a/dotterelpaddle/tests/forwarding/test_flow.py
+++ b/dotterelpaddle/tests/forwarding/test_flow.py
@@ -50,19 +50,19 @@
 
 async def test_endpoint_learns_who_is_meant_and_what_time_is_left() -> None:
     async with run_fleet() as fleet:
-        await fleet.call("/safe/", headers={Header.TIME_LEFT: b"1000"})
+        await fleet.call("/safe/", headers={Header.TIME_LEFT_MS: b"1000"})
 
     (received,) = fleet.runners["runner-1"].received
     assert received.headers[Header.EXPECTED_ENDPOINT] == b"runner-1"
-    assert 0 < int(received.headers[Header.TIME_LEFT]) <= 1000
+    assert 0 < int(received.headers[Header.TIME_LEFT_MS]) <= 1000
 
 
 async def test_time_left_is_bounded_by_the_route() -> None:
     async with run_fleet() as fleet:
-        await fleet.call("/safe/", headers={Header.TIME_LEFT: b"60000"})
+        await fleet.call("/safe/", headers={Header.TIME_LEFT_MS: b"60000"})
 
     (received,) = fleet.runners["runner-1"].received
-    assert int(received.headers[Header.TIME_LEFT]) <= 2000
+    assert int(received.headers[Header.TIME_LEFT_MS]) <= 2000
 
 
 @pytest.mark.parametrize(
@@ -104,7 +104,7 @@
         ("/safe/", {Header.KEY: b""}, 401),
         ("/open/", {Header.KEY: b"unknown"}, 200),
         ("/safe/", {Header.REQUEST_ID: b""}, 400),
-        ("/safe/", {Header.TIME_LEFT: b"soon"}, 400),
+        ("/safe/", {Header.TIME_LEFT_MS: b"soon"}, 400),
     ],
 )
 async def test_what_is_not_allowed_is_said_at_once(
--- a/dotterelpaddle/tests/platform/test_protocols.py
+++ b/dotterelpaddle/tests/platform/test_protocols.py
@@ -48,7 +48,7 @@
 def test_request_is_decoded_into_its_parts() -> None:
     headers = {
         Header.KEY: b"k",
-        Header.TIME_LEFT: b"1500",
+        Header.TIME_LEFT_MS: b"1500",
         Header.MODEL: b"m",
         Header.PROMPT: b"5c1e:800, 91bd:410,e440:250",
         Header.LAST_EVENT: b"12",
@@ -95,7 +95,7 @@
     headers = dict(PROTOCOLS.encode_headers(request=request, delivery=delivery))
 
     assert headers[Header.EXPECTED_ENDPOINT] == b"runner-1"
-    assert headers[Header.TIME_LEFT] == b"1234"
+    assert headers[Header.TIME_LEFT_MS] == b"1234"
     assert headers[Header.ACCOUNT] == b"acme"
     assert headers[Header.RANK] == b"9"
     assert headers[Header.LAST_EVENT] == b"3"
