--- a/dotterelpaddle/platform/names.py
+++ b/dotterelpaddle/platform/names.py
@@ -27,7 +27,7 @@
     RANK = b"x-dotterelpaddle-request-priority"
     LAST_EVENT = b"last-event-id"
     EXPECTED_VERSION = b"x-dotterelpaddle-expect-version"
-    PIN = b"x-dotterelpaddle-pin-ms"
+    PIN_MS = b"x-dotterelpaddle-pin-ms"
     RESERVATION = b"x-dotterelpaddle-kv-hold"
     BACKUP = b"x-dotterelpaddle-kv-backup"
     MOVED_FROM = b"kv-from"
@@ -43,7 +43,7 @@
         Header.RANK,
         Header.LAST_EVENT,
         Header.EXPECTED_VERSION,
-        Header.PIN,
+        Header.PIN_MS,
         Header.RESERVATION,
         Header.BACKUP,
         Header.MOVED_FROM,
--- a/dotterelpaddle/tests/forwarding/test_flow.py
+++ b/dotterelpaddle/tests/forwarding/test_flow.py
@@ -69,7 +69,7 @@
     "header",
     [
         Header.RESERVATION,
-        Header.PIN,
+        Header.PIN_MS,
         Header.BACKUP,
         Header.MOVED_FROM,
         Header.FETCH_FROM,
