--- a/dotterelpaddle/platform/names.py
+++ b/dotterelpaddle/platform/names.py
@@ -15,7 +15,7 @@
     ACCOUNT = b"x-dotterelpaddle-tenant"
     EXPECTED_ENDPOINT = b"x-dotterelpaddle-expect-runner"
     # Proof that an endpoint made the answer; callers check it, we do not.
-    SEAL = b"x-dotterelpaddle-runner-seal"
+    ORIGIN_PROOF = b"x-dotterelpaddle-runner-seal"
     NOT_EXECUTED = b"x-dotterelpaddle-not-executed"
     # Said of the start of the endpoint that answers, not of its service or address.
     LEAVING = b"server-leaving"
--- a/dotterelpaddle/platform/protocols.py
+++ b/dotterelpaddle/platform/protocols.py
@@ -98,7 +98,7 @@
             status=status,
             headers=[(name, value) for name, value in lowered if name not in dropped],
             request_id=_text(by_name, Header.REQUEST_ID),
-            has_origin_proof=Header.SEAL in by_name,
+            has_origin_proof=Header.ORIGIN_PROOF in by_name,
             not_executed=Header.NOT_EXECUTED in by_name,
             wrong_endpoint=status == MISDIRECTED,
             has_unexpected_encoding=b"content-encoding" in by_name,
--- a/dotterelpaddle/standins/runner.py
+++ b/dotterelpaddle/standins/runner.py
@@ -342,7 +342,7 @@
         if self.leaving:
             lines.append(Header.LEAVING + b": 1")
         if sealed:
-            lines.append(Header.SEAL + b": " + SEAL)
+            lines.append(Header.ORIGIN_PROOF + b": " + SEAL)
         lines += [name + b": " + value for name, value in (extra or {}).items()]
         return b"\r\n".join(lines) + b"\r\n\r\n"
 
--- a/dotterelpaddle/tests/forwarding/test_faults.py
+++ b/dotterelpaddle/tests/forwarding/test_faults.py
@@ -135,7 +135,7 @@
 
     headers = {name.lower(): value for name, value in answer.headers}
     assert answer.status == 502
-    assert Header.SEAL not in headers
+    assert Header.ORIGIN_PROOF not in headers
 
 
 async def test_failed_answer_is_passed_on_as_it_is() -> None:
@@ -145,7 +145,7 @@
 
     headers = {name.lower(): value for name, value in answer.headers}
     assert answer.status == 500
-    assert headers[Header.SEAL] == b"seal"
+    assert headers[Header.ORIGIN_PROOF] == b"seal"
     assert b"runner-1" in answer.content
 
 
--- a/dotterelpaddle/tests/forwarding/test_flow.py
+++ b/dotterelpaddle/tests/forwarding/test_flow.py
@@ -35,7 +35,7 @@
         answer = await fleet.call("/safe/")
 
     headers = {name.lower(): value for name, value in answer.headers}
-    assert headers[Header.SEAL] == b"seal"
+    assert headers[Header.ORIGIN_PROOF] == b"seal"
     assert b"runner-1" in answer.content
 
 
