--- a/dotterelpaddle/platform/names.py
+++ b/dotterelpaddle/platform/names.py
@@ -25,7 +25,7 @@
     MODEL = b"x-dotterelpaddle-model"
     PROMPT = b"x-dotterelpaddle-prompt-prefix"
     RANK = b"x-dotterelpaddle-request-priority"
-    LAST_EVENT = b"last-event-id"
+    LAST_EVENT_ID = b"last-event-id"
     EXPECTED_VERSION = b"x-dotterelpaddle-expect-version"
     PIN_MS = b"x-dotterelpaddle-pin-ms"
     RESERVATION = b"x-dotterelpaddle-kv-hold"
@@ -41,7 +41,7 @@
         Header.ACCOUNT,
         Header.EXPECTED_ENDPOINT,
         Header.RANK,
-        Header.LAST_EVENT,
+        Header.LAST_EVENT_ID,
         Header.EXPECTED_VERSION,
         Header.PIN_MS,
         Header.RESERVATION,
--- a/dotterelpaddle/platform/protocols.py
+++ b/dotterelpaddle/platform/protocols.py
@@ -67,7 +67,7 @@
             time_left=_time_left(headers),
             model=ModelId(_text(headers, Header.MODEL)),
             prompt=_prompt(_text(headers, Header.PROMPT)),
-            last_event=_text(headers, Header.LAST_EVENT),
+            last_event=_text(headers, Header.LAST_EVENT_ID),
         )
 
     def encode_headers(
@@ -82,7 +82,9 @@
         if delivery.priority is not None and request.prompt:
             headers.append((Header.RANK, b"%d" % min(delivery.priority, LOWEST_RANK)))
         if delivery.last_event:
-            headers.append((Header.LAST_EVENT, delivery.last_event.encode("latin-1")))
+            headers.append(
+                (Header.LAST_EVENT_ID, delivery.last_event.encode("latin-1"))
+            )
         if delivery.fetch_from is not None:
             headers.append((Header.FETCH_FROM, str(delivery.fetch_from).encode()))
         return headers
--- a/dotterelpaddle/standins/runner.py
+++ b/dotterelpaddle/standins/runner.py
@@ -275,7 +275,7 @@
     async def _stream(
         self, stream: SocketStream, request: Received, behaviour: Behaviour
     ) -> bool:
-        first = int(request.headers.get(Header.LAST_EVENT, b"0")) + 1
+        first = int(request.headers.get(Header.LAST_EVENT_ID, b"0")) + 1
         last = self.events
         match behaviour:
             case Hang(events=events) | CutAnswer(events=events):
--- a/dotterelpaddle/tests/forwarding/test_flow.py
+++ b/dotterelpaddle/tests/forwarding/test_flow.py
@@ -142,7 +142,9 @@
 
 async def test_callers_last_event_goes_on() -> None:
     async with run_fleet() as fleet:
-        answer = await fleet.call("/stream/again/x", headers={Header.LAST_EVENT: b"3"})
+        answer = await fleet.call(
+            "/stream/again/x", headers={Header.LAST_EVENT_ID: b"3"}
+        )
 
     assert answer.content.startswith(b"id: 4\n")
 
--- a/dotterelpaddle/tests/platform/test_protocols.py
+++ b/dotterelpaddle/tests/platform/test_protocols.py
@@ -51,7 +51,7 @@
         Header.TIME_LEFT_MS: b"1500",
         Header.MODEL: b"m",
         Header.PROMPT: b"5c1e:800, 91bd:410,e440:250",
-        Header.LAST_EVENT: b"12",
+        Header.LAST_EVENT_ID: b"12",
     }
 
     request = PROTOCOLS.decode_request(scope=_scope(headers, query_string=b"c=d"))
@@ -98,7 +98,7 @@
     assert headers[Header.TIME_LEFT_MS] == b"1234"
     assert headers[Header.ACCOUNT] == b"acme"
     assert headers[Header.RANK] == b"9"
-    assert headers[Header.LAST_EVENT] == b"3"
+    assert headers[Header.LAST_EVENT_ID] == b"3"
     assert headers[Header.REQUEST_ID] == b"r"
 
 
