--- a/dotterelpaddle/platform/names.py
+++ b/dotterelpaddle/platform/names.py
@@ -23,7 +23,7 @@
     # not only when to send this request again.
     RETRY_AFTER = b"retry-after"
     MODEL = b"x-dotterelpaddle-model"
-    PROMPT = b"x-dotterelpaddle-prompt-prefix"
+    PROMPT_PREFIX = b"x-dotterelpaddle-prompt-prefix"
     RANK = b"x-dotterelpaddle-request-priority"
     LAST_EVENT_ID = b"last-event-id"
     EXPECTED_VERSION = b"x-dotterelpaddle-expect-version"
--- a/dotterelpaddle/platform/protocols.py
+++ b/dotterelpaddle/platform/protocols.py
@@ -66,7 +66,7 @@
             key=_text(headers, Header.KEY),
             time_left=_time_left(headers),
             model=ModelId(_text(headers, Header.MODEL)),
-            prompt=_prompt(_text(headers, Header.PROMPT)),
+            prompt=_prompt(_text(headers, Header.PROMPT_PREFIX)),
             last_event=_text(headers, Header.LAST_EVENT_ID),
         )
 
--- a/dotterelpaddle/tests/platform/test_protocols.py
+++ b/dotterelpaddle/tests/platform/test_protocols.py
@@ -50,7 +50,7 @@
         Header.KEY: b"k",
         Header.TIME_LEFT_MS: b"1500",
         Header.MODEL: b"m",
-        Header.PROMPT: b"5c1e:800, 91bd:410,e440:250",
+        Header.PROMPT_PREFIX: b"5c1e:800, 91bd:410,e440:250",
         Header.LAST_EVENT_ID: b"12",
     }
 
@@ -63,13 +63,13 @@
     assert request.prompt[0] == PromptPart(digest="5c1e", tokens=800)
     assert [part.tokens for part in request.prompt] == [800, 410, 250]
     assert request.last_event == "12"
-    assert (Header.PROMPT, headers[Header.PROMPT]) in request.headers
+    assert (Header.PROMPT_PREFIX, headers[Header.PROMPT_PREFIX]) in request.headers
     assert (Header.MODEL, b"m") in request.headers
 
 
 @given(st.binary(max_size=40))
 def test_any_prompt_header_is_read_or_left_out(text: bytes) -> None:
-    request = PROTOCOLS.decode_request(scope=_scope({Header.PROMPT: text}))
+    request = PROTOCOLS.decode_request(scope=_scope({Header.PROMPT_PREFIX: text}))
 
     assert all(part.tokens >= 0 for part in request.prompt)
 
@@ -83,7 +83,9 @@
 
 
 def test_endpoint_gets_what_it_has_to_know() -> None:
-    request = PROTOCOLS.decode_request(scope=_scope({Header.PROMPT: b"aa:1,bb:2"}))
+    request = PROTOCOLS.decode_request(
+        scope=_scope({Header.PROMPT_PREFIX: b"aa:1,bb:2"})
+    )
     delivery = RequestMetadata(
         endpoint=EndpointName("runner-1"),
         time_left=1.2345,
