--- a/dotterelpaddle/platform/names.py
+++ b/dotterelpaddle/platform/names.py
@@ -83,7 +83,7 @@
     # When the process started, Unix milliseconds by the endpoint's own clock.
     STARTED_AT = "born"
     # Version of the endpoint's software, not of its model's weights.
-    SOFTWARE = "version"
+    SOFTWARE_VERSION = "version"
     # Grows when more of the row changes than this; heartbeats leave it.
     CHANGES = "seq"
     # Milliseconds that it still bears few requests, after its start or later.
