--- a/dotterelpaddle/platform/endpoints.py
+++ b/dotterelpaddle/platform/endpoints.py
@@ -83,7 +83,7 @@
 def _check_unused(row: Mapping[str, Any], path: str) -> None:
     """Check fields that say whether an endpoint wrote the row, and else nothing."""
     required_field(row, Field.SOFTWARE_VERSION, str, path)
-    required_field(row, Field.CHANGES, int, path)
+    required_field(row, Field.CHANGE_COUNT, int, path)
 
 
 def _slots(row: Mapping[str, Any], path: str) -> int:
--- a/dotterelpaddle/platform/names.py
+++ b/dotterelpaddle/platform/names.py
@@ -85,7 +85,7 @@
     # Version of the endpoint's software, not of its model's weights.
     SOFTWARE_VERSION = "version"
     # Grows when more of the row changes than this; heartbeats leave it.
-    CHANGES = "seq"
+    CHANGE_COUNT = "seq"
     # Milliseconds that it still bears few requests, after its start or later.
     COLD_LEFT = "coldLeftMs"
     # Of a route or client account: regions in which its requests may run.
