--- a/dotterelpaddle/platform/endpoints.py
+++ b/dotterelpaddle/platform/endpoints.py
@@ -59,7 +59,7 @@
         slots=_slots(row, path),
         state=_state(row, path),
         models=_models(row, path),
-        cold_left=seconds_field(row, Field.COLD_LEFT, path),
+        cold_left=seconds_field(row, Field.COLD_LEFT_MS, path),
         revision=revision,
         document=document,
     )
--- a/dotterelpaddle/platform/names.py
+++ b/dotterelpaddle/platform/names.py
@@ -87,7 +87,7 @@
     # Grows when more of the row changes than this; heartbeats leave it.
     CHANGE_COUNT = "seq"
     # Milliseconds that it still bears few requests, after its start or later.
-    COLD_LEFT = "coldLeftMs"
+    COLD_LEFT_MS = "coldLeftMs"
     # Of a route or client account: regions in which its requests may run.
     REGIONS = "allowedRegions"
     # Of a service: seconds that an endpoint is cold after its start.
