--- a/dotterelpaddle/platform/configuration.py
+++ b/dotterelpaddle/platform/configuration.py
@@ -147,7 +147,7 @@
     for index, service in enumerate(optional_field(row, "services", list, "", [])):
         path = f"services.{index}."
         slow_start = SlowStart(
-            duration=number_field(service, Field.COLD_TIME, path, default=0.0),
+            duration=number_field(service, Field.COLD_SECONDS, path, default=0.0),
             rate=number_field(service, Field.COLD_RATE, path, default=0.0),
         )
         if slow_start.duration:
--- a/dotterelpaddle/platform/names.py
+++ b/dotterelpaddle/platform/names.py
@@ -91,7 +91,7 @@
     # Of a route or client account: regions in which its requests may run.
     REGIONS = "allowedRegions"
     # Of a service: seconds that an endpoint is cold after its start.
-    COLD_TIME = "coldS"
+    COLD_SECONDS = "coldS"
     # Of a service: requests a second that a cold endpoint bears.
     COLD_RATE = "coldPerS"
 
