--- a/dotterelpaddle/platform/configuration.py
+++ b/dotterelpaddle/platform/configuration.py
@@ -148,7 +148,9 @@
         path = f"services.{index}."
         slow_start = SlowStart(
             duration=number_field(service, Field.COLD_SECONDS, path, default=0.0),
-            rate=number_field(service, Field.COLD_RATE, path, default=0.0),
+            rate=number_field(
+                service, Field.COLD_REQUESTS_PER_SECOND, path, default=0.0
+            ),
         )
         if slow_start.duration:
             name = ServiceName(required_field(service, "name", str, path))
--- a/dotterelpaddle/platform/names.py
+++ b/dotterelpaddle/platform/names.py
@@ -93,7 +93,7 @@
     # Of a service: seconds that an endpoint is cold after its start.
     COLD_SECONDS = "coldS"
     # Of a service: requests a second that a cold endpoint bears.
-    COLD_RATE = "coldPerS"
+    COLD_REQUESTS_PER_SECOND = "coldPerS"
 
 
 CONFIGURATION_KEY = "config"
