--- a/dotterelpaddle/platform/endpoints.py
+++ b/dotterelpaddle/platform/endpoints.py
@@ -71,7 +71,9 @@
     Raises:
         RecordError: If it is something else than a whole number of milliseconds.
     """
-    started_at = optional_field(row, Field.STARTED_AT, int, path, UNKNOWN_INCARNATION)
+    started_at = optional_field(
+        row, Field.STARTED_AT_MS, int, path, UNKNOWN_INCARNATION
+    )
     if started_at < 0:
         raise RecordError(
             f"field '{path}{Field.STARTED_AT}' must be from 0 on, not {started_at}",
--- a/dotterelpaddle/platform/names.py
+++ b/dotterelpaddle/platform/names.py
@@ -81,7 +81,7 @@
     """Fields of what endpoints say of themselves, where their names mislead."""
 
     # When the process started, Unix milliseconds by the endpoint's own clock.
-    STARTED_AT = "born"
+    STARTED_AT_MS = "born"
     # Version of the endpoint's software, not of its model's weights.
     SOFTWARE_VERSION = "version"
     # Grows when more of the row changes than this; heartbeats leave it.
