--- a/dotterelpaddle/platform/configuration.py
+++ b/dotterelpaddle/platform/configuration.py
@@ -105,7 +105,7 @@
 
 
 def _regions(row: Mapping[str, Any], path: str) -> frozenset[Region]:
-    names = optional_field(row, Field.REGIONS, list, path, [])
+    names = optional_field(row, Field.ALLOWED_REGIONS, list, path, [])
     if not all(isinstance(name, str) for name in names):
         raise RecordError(
             f"field '{path}{Field.REGIONS}' must hold names of regions, not {names!r}",
--- a/dotterelpaddle/platform/names.py
+++ b/dotterelpaddle/platform/names.py
@@ -89,7 +89,7 @@
     # Milliseconds that it still bears few requests, after its start or later.
     COLD_LEFT_MS = "coldLeftMs"
     # Of a route or client account: regions in which its requests may run.
-    REGIONS = "allowedRegions"
+    ALLOWED_REGIONS = "allowedRegions"
     # Of a service: seconds that an endpoint is cold after its start.
     COLD_SECONDS = "coldS"
     # Of a service: requests a second that a cold endpoint bears.
