--- a/dotterelpaddle/platform/operator_rows.py
+++ b/dotterelpaddle/platform/operator_rows.py
@@ -23,7 +23,7 @@
 log = get_logger(name=__name__)
 
 
-class OperatorRows:
+class OperatorRowDecoder:
     """Decodes the rows that the operator writes.
 
     Args:
--- a/dotterelpaddle/platform/store.py
+++ b/dotterelpaddle/platform/store.py
@@ -14,7 +14,7 @@
 from dotterelpaddle.ids import Revision
 from dotterelpaddle.network import LinkedBackend
 from dotterelpaddle.platform.names import CallPath, Table
-from dotterelpaddle.platform.operator_rows import OperatorRows
+from dotterelpaddle.platform.operator_rows import OperatorRowDecoder
 from dotterelpaddle.platform.rows import EntryRows, check_rows
 
 if TYPE_CHECKING:
@@ -52,7 +52,7 @@
         self, *, address: Address, documents: DocumentDecoder, links: Links
     ) -> None:
         self._address = address
-        self._operator_rows = OperatorRows(documents=documents)
+        self._operator_rows = OperatorRowDecoder(documents=documents)
         self._entry_rows = EntryRows(documents=documents)
         self._pool = httpcore.AsyncConnectionPool(
             network_backend=LinkedBackend(links=links),
--- a/dotterelpaddle/tests/platform/test_operator_rows.py
+++ b/dotterelpaddle/tests/platform/test_operator_rows.py
@@ -12,7 +12,7 @@
 from dotterelpaddle.forwarding.view import FleetView
 from dotterelpaddle.ids import Revision
 from dotterelpaddle.platform.documents import PlatformDocumentDecoder
-from dotterelpaddle.platform.operator_rows import OperatorRows, decode_evacuation
+from dotterelpaddle.platform.operator_rows import OperatorRowDecoder, decode_evacuation
 from dotterelpaddle.tests.forwarding.harness import configuration
 
 
@@ -22,7 +22,7 @@
 
 
 def _decode(*rows: dict[str, Any], revision: int, view: FleetView) -> None:
-    operator_rows = OperatorRows(documents=PlatformDocumentDecoder())
+    operator_rows = OperatorRowDecoder(documents=PlatformDocumentDecoder())
     view.apply_operator_update(
         read=operator_rows.decode(rows=rows, revision=Revision(revision), whole=True)
     )
