--- a/dotterelpaddle/platform/protocols.py
+++ b/dotterelpaddle/platform/protocols.py
@@ -24,7 +24,7 @@
 if TYPE_CHECKING:
     from collections.abc import Mapping, Sequence
 
-MISDIRECTED = 421
+MISDIRECTED_STATUS = 421
 LOWEST_RANK = 9
 
 SAID = "1"
@@ -102,7 +102,7 @@
             request_id=_text(by_name, Header.REQUEST_ID),
             has_origin_proof=Header.ORIGIN_PROOF in by_name,
             not_executed=Header.NOT_EXECUTED in by_name,
-            wrong_endpoint=status == MISDIRECTED,
+            wrong_endpoint=status == MISDIRECTED_STATUS,
             has_unexpected_encoding=b"content-encoding" in by_name,
             leaving=says_it_leaves(headers=lowered),
             retry_after=decode_retry_after(headers=by_name),
