--- a/dotterelpaddle/platform/protocols.py
+++ b/dotterelpaddle/platform/protocols.py
@@ -25,7 +25,7 @@
     from collections.abc import Mapping, Sequence
 
 MISDIRECTED_STATUS = 421
-LOWEST_RANK = 9
+LOWEST_PRIORITY = 9
 
 SAID = "1"
 """Value of a header that says yes."""
@@ -80,7 +80,9 @@
         if delivery.account is not None:
             headers.append((Header.ACCOUNT, delivery.account.name.encode()))
         if delivery.priority is not None and request.prompt:
-            headers.append((Header.RANK, b"%d" % min(delivery.priority, LOWEST_RANK)))
+            headers.append(
+                (Header.RANK, b"%d" % min(delivery.priority, LOWEST_PRIORITY))
+            )
         if delivery.last_event:
             headers.append(
                 (Header.LAST_EVENT_ID, delivery.last_event.encode("latin-1"))
