--- a/dotterelpaddle/platform/protocols.py
+++ b/dotterelpaddle/platform/protocols.py
@@ -27,7 +27,7 @@
 MISDIRECTED_STATUS = 421
 LOWEST_PRIORITY = 9
 
-SAID = "1"
+TRUE_VALUE = "1"
 """Value of a header that says yes."""
 
 _PART = re.compile(r"\s*([0-9a-fA-F]+):(\d+)\s*")
@@ -114,7 +114,7 @@
 def says_it_leaves(*, headers: Sequence[tuple[bytes, bytes]]) -> bool:
     """Tell whether an endpoint says in the headers of an answer that it leaves."""
     by_name = {name.lower(): value for name, value in headers}
-    return _text(by_name, Header.LEAVING) == SAID
+    return _text(by_name, Header.LEAVING) == TRUE_VALUE
 
 
 def _text(headers: Mapping[bytes, bytes], name: bytes) -> str:
