--- a/dotterelpaddle/platform/engines.py
+++ b/dotterelpaddle/platform/engines.py
@@ -16,7 +16,7 @@
 from dotterelpaddle.platform.decoding import parse_object
 from dotterelpaddle.platform.endpoints import decode_incarnation
 from dotterelpaddle.platform.names import CallPath
-from dotterelpaddle.platform.protocols import says_it_leaves
+from dotterelpaddle.platform.protocols import announces_leaving
 
 if TYPE_CHECKING:
     from dotterelpaddle.forwarding.model import EndpointEntry
@@ -74,7 +74,7 @@
         return decode_cached_parts(
             content=response.content,
             entry=entry,
-            leaving=says_it_leaves(headers=response.headers),
+            leaving=announces_leaving(headers=response.headers),
         )
 
 
--- a/dotterelpaddle/platform/protocols.py
+++ b/dotterelpaddle/platform/protocols.py
@@ -106,12 +106,12 @@
             not_executed=Header.NOT_EXECUTED in by_name,
             wrong_endpoint=status == MISDIRECTED_STATUS,
             has_unexpected_encoding=b"content-encoding" in by_name,
-            leaving=says_it_leaves(headers=lowered),
+            leaving=announces_leaving(headers=lowered),
             retry_after=decode_retry_after(headers=by_name),
         )
 
 
-def says_it_leaves(*, headers: Sequence[tuple[bytes, bytes]]) -> bool:
+def announces_leaving(*, headers: Sequence[tuple[bytes, bytes]]) -> bool:
     """Tell whether an endpoint says in the headers of an answer that it leaves."""
     by_name = {name.lower(): value for name, value in headers}
     return _text(by_name, Header.LEAVING) == TRUE_VALUE
