--- a/dotterelpaddle/platform/rows.py
+++ b/dotterelpaddle/platform/rows.py
@@ -20,7 +20,7 @@
 """A row as the store tells it: key, version, and value or `removed`."""
 
 
-class EntryRows:
+class EntryRowDecoder:
     """Decodes the rows of endpoints' entries.
 
     Args:
--- a/dotterelpaddle/platform/store.py
+++ b/dotterelpaddle/platform/store.py
@@ -15,7 +15,7 @@
 from dotterelpaddle.network import LinkedBackend
 from dotterelpaddle.platform.names import CallPath, Table
 from dotterelpaddle.platform.operator_rows import OperatorRowDecoder
-from dotterelpaddle.platform.rows import EntryRows, check_rows
+from dotterelpaddle.platform.rows import EntryRowDecoder, check_rows
 
 if TYPE_CHECKING:
     from collections.abc import Mapping
@@ -53,7 +53,7 @@
     ) -> None:
         self._address = address
         self._operator_rows = OperatorRowDecoder(documents=documents)
-        self._entry_rows = EntryRows(documents=documents)
+        self._entry_rows = EntryRowDecoder(documents=documents)
         self._pool = httpcore.AsyncConnectionPool(
             network_backend=LinkedBackend(links=links),
             max_connections=4,
--- a/dotterelpaddle/tests/forwarding/test_starts.py
+++ b/dotterelpaddle/tests/forwarding/test_starts.py
@@ -25,7 +25,7 @@
 )
 from dotterelpaddle.platform.documents import PlatformDocumentDecoder
 from dotterelpaddle.platform.engines import decode_cached_parts
-from dotterelpaddle.platform.rows import EntryRows
+from dotterelpaddle.platform.rows import EntryRowDecoder
 
 SERVICE = ServiceName("records")
 NAMES = [EndpointName("a"), EndpointName("b")]
@@ -60,7 +60,10 @@
     def __init__(self) -> None:
         super().__init__()
         self.routers = [FleetView(clock=lambda: 0.0), FleetView(clock=lambda: 0.0)]
-        self.decoders = [EntryRows(documents=DOCUMENTS), EntryRows(documents=DOCUMENTS)]
+        self.decoders = [
+            EntryRowDecoder(documents=DOCUMENTS),
+            EntryRowDecoder(documents=DOCUMENTS),
+        ]
         self.revision = 0
         self.starts = dict.fromkeys(NAMES, 0)
         self.table: dict[EndpointName, dict[str, Any]] = {}
--- a/dotterelpaddle/tests/platform/test_rows.py
+++ b/dotterelpaddle/tests/platform/test_rows.py
@@ -13,7 +13,7 @@
 from dotterelpaddle.exceptions import PlatformUnavailable
 from dotterelpaddle.forwarding import unusable
 from dotterelpaddle.platform.documents import PlatformDocumentDecoder
-from dotterelpaddle.platform.rows import EntryRows, check_rows
+from dotterelpaddle.platform.rows import EntryRowDecoder, check_rows
 from dotterelpaddle.standins.runner import RunnerStandin
 
 VALUE = RunnerStandin(name="a").entry(
@@ -50,7 +50,7 @@
     ids=["no text", "nothing", "null", "a list", "unknown state", "fields missing"],
 )
 def test_row_of_another_writer_names_no_endpoint(value: object) -> None:
-    rows = EntryRows(documents=PlatformDocumentDecoder())
+    rows = EntryRowDecoder(documents=PlatformDocumentDecoder())
 
     entries, removed = rows.decode(rows=[_row("a", 4, VALUE), _row("b", 5, value)])
 
@@ -59,7 +59,7 @@
 
 
 def test_row_without_a_readable_value_names_no_endpoint() -> None:
-    rows = EntryRows(documents=PlatformDocumentDecoder())
+    rows = EntryRowDecoder(documents=PlatformDocumentDecoder())
     without: list[dict[str, Any]] = [
         {"key": "a", "ver": 4},
         {"key": "b", "ver": 5, "value": 7},
@@ -75,7 +75,10 @@
 
 def test_fault_of_a_row_is_logged_once(monkeypatch: pytest.MonkeyPatch) -> None:
     """A row that is written anew with each heartbeat keeps its fault."""
-    rows, lines = EntryRows(documents=PlatformDocumentDecoder()), _Lines(monkeypatch)
+    rows, lines = (
+        EntryRowDecoder(documents=PlatformDocumentDecoder()),
+        _Lines(monkeypatch),
+    )
 
     for revision in range(1, 50):
         rows.decode(rows=[_row("a", revision, {**VALUE, "state": "resting"})])
@@ -91,7 +94,7 @@
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     entries, lines = unusable.UnusableEntries(), _Lines(monkeypatch)
-    rows = EntryRows(documents=PlatformDocumentDecoder())
+    rows = EntryRowDecoder(documents=PlatformDocumentDecoder())
     rows._unusable = entries
 
     for number in range(unusable.MAX_REMEMBERED_ENTRIES + 10):
@@ -103,7 +106,7 @@
 
 @given(st.binary(max_size=64))
 def test_noise_names_no_endpoint(noise: bytes) -> None:
-    entries, removed = EntryRows(documents=PlatformDocumentDecoder()).decode(
+    entries, removed = EntryRowDecoder(documents=PlatformDocumentDecoder()).decode(
         rows=[_row("a", 1, noise)]
     )
 
