--- a/dotterelpaddle/platform/store.py
+++ b/dotterelpaddle/platform/store.py
@@ -25,7 +25,7 @@
     from dotterelpaddle.links import Links
     from dotterelpaddle.platform.rows import Row
 
-ANSWER_TIME = 1.0
+ANSWER_TIMEOUT_SECONDS = 1.0
 """Seconds that an answer may take beyond what the call waits for.
 
 The store answers in 4 ms; while it is slow, sixty times that. A connection that
@@ -127,7 +127,7 @@
         )
         peer = str(self._address)
         try:
-            with anyio.fail_after(wait + ANSWER_TIME):
+            with anyio.fail_after(wait + ANSWER_TIMEOUT_SECONDS):
                 response = await self._pool.request("GET", url)
         except TimeoutError as error:
             raise PlatformUnavailable("no answer in time", peer=peer) from error
