--- a/dotterelpaddle/platform/store.py
+++ b/dotterelpaddle/platform/store.py
@@ -32,7 +32,7 @@
 went silent shows only by this.
 """
 
-PAGE = 500
+MAX_PAGE_ROWS = 500
 """Rows of one answer, at most."""
 
 OK = 200
@@ -95,7 +95,7 @@
     async def _read_all(self, *, table: str) -> tuple[list[Row], Revision]:
         """Read all rows of a table, and the revision as of which they are."""
         rows: list[Row] = []
-        query = {"table": table, "part": "", "limit": PAGE}
+        query = {"table": table, "part": "", "limit": MAX_PAGE_ROWS}
         first: Revision | None = None
         while True:
             answer = await self._get(path=CallPath.READ, query=query)
