--- a/dotterelpaddle/daemon/lean.py
+++ b/dotterelpaddle/daemon/lean.py
@@ -10,7 +10,7 @@
 
 SERVER_PACKAGE = "uvicorn"
 
-NEVER_CALLED = ("certifi", "logging.config")
+UNUSED_MODULES = ("certifi", "logging.config")
 """Modules that libraries import for what a router never asks of them: certificates
 of encrypted connections, and settings of logs. They bring forty others along, which
 are a fifteenth of the processor time of a start; callers wait for that."""
@@ -18,7 +18,7 @@
 
 def skip_what_is_never_run() -> None:
     """Let libraries be imported without what a router never runs of them."""
-    for name in NEVER_CALLED:
+    for name in UNUSED_MODULES:
         sys.modules.setdefault(name, ModuleType(name))
     skip_server_command_line()
 
