--- a/dotterelpaddle/daemon/__main__.py
+++ b/dotterelpaddle/daemon/__main__.py
@@ -13,7 +13,7 @@
 from pathlib import Path
 from typing import TYPE_CHECKING
 
-from dotterelpaddle.daemon.lean import skip_what_is_never_run
+from dotterelpaddle.daemon.lean import skip_unused_imports
 from dotterelpaddle.exceptions import SettingsError
 from dotterelpaddle.forwarding.settings import load_settings
 from dotterelpaddle.listening import bind
@@ -52,7 +52,7 @@
         print(f"error: {error.message}", file=sys.stderr)
         return BAD_SETTINGS
 
-    skip_what_is_never_run()
+    skip_unused_imports()
     from dotterelpaddle.daemon.process import run_process
 
     gc.freeze()
--- a/dotterelpaddle/daemon/lean.py
+++ b/dotterelpaddle/daemon/lean.py
@@ -16,7 +16,7 @@
 are a fifteenth of the processor time of a start; callers wait for that."""
 
 
-def skip_what_is_never_run() -> None:
+def skip_unused_imports() -> None:
     """Let libraries be imported without what a router never runs of them."""
     for name in UNUSED_MODULES:
         sys.modules.setdefault(name, ModuleType(name))
