--- a/dotterelpaddle/daemon/__main__.py
+++ b/dotterelpaddle/daemon/__main__.py
@@ -24,7 +24,7 @@
     from dotterelpaddle.address import Address
 
 SETTINGS_VARIABLE = "DOTTERELPADDLE_SETTINGS"
-BAD_SETTINGS = 2
+SETTINGS_ERROR_EXIT_CODE = 2
 
 GARBAGE_THRESHOLDS = (5_000, 20, 20)
 """Objects and rounds between collections: requests leave few cycles behind, and the
@@ -50,7 +50,7 @@
         listener = _listen(settings.callers)
     except SettingsError as error:
         print(f"error: {error.message}", file=sys.stderr)
-        return BAD_SETTINGS
+        return SETTINGS_ERROR_EXIT_CODE
 
     skip_unused_imports()
     from dotterelpaddle.daemon.process import run_process
