--- a/dotterelpaddle/daemon/__main__.py
+++ b/dotterelpaddle/daemon/__main__.py
@@ -26,7 +26,7 @@
 SETTINGS_VARIABLE = "DOTTERELPADDLE_SETTINGS"
 SETTINGS_ERROR_EXIT_CODE = 2
 
-GARBAGE_THRESHOLDS = (5_000, 20, 20)
+GC_THRESHOLDS = (5_000, 20, 20)
 """Objects and rounds between collections: requests leave few cycles behind, and the
 usual 700 objects are a dozen requests."""
 
@@ -56,7 +56,7 @@
     from dotterelpaddle.daemon.process import run_process
 
     gc.freeze()
-    gc.set_threshold(*GARBAGE_THRESHOLDS)
+    gc.set_threshold(*GC_THRESHOLDS)
     gc.enable()
     run_process(settings=settings, listener=listener)
     return 0
