--- a/dotterelpaddle/forwarding/parts.py
+++ b/dotterelpaddle/forwarding/parts.py
@@ -48,7 +48,7 @@
 from dotterelpaddle.peers.fetching import Fetcher
 from dotterelpaddle.peers.messages import PeerName
 from dotterelpaddle.peers.plan import ReportPlan
-from dotterelpaddle.peers.word import PeersWord
+from dotterelpaddle.peers.word import PeerSummary
 from dotterelpaddle.pipeline import compose
 
 if TYPE_CHECKING:
@@ -174,7 +174,7 @@
         signs=knowledge.liveness,
         notices=EndpointNotices(leaving=knowledge.view.leaving, quiet=knowledge.quiet),
     )
-    word = PeersWord(
+    word = PeerSummary(
         view=knowledge.view,
         directory=directory,
         shares=knowledge.totals,
--- a/dotterelpaddle/peers/cache_lists.py
+++ b/dotterelpaddle/peers/cache_lists.py
@@ -25,7 +25,7 @@
     from dotterelpaddle.forwarding.view import FleetView
     from dotterelpaddle.ids import FailureDomain
     from dotterelpaddle.owners.shards import ShardMap
-    from dotterelpaddle.peers.word import PeersWord
+    from dotterelpaddle.peers.word import PeerSummary
 
 log = get_logger(name=__name__)
 
@@ -102,7 +102,7 @@
         *,
         view: FleetView,
         caches: CacheMap,
-        word: PeersWord,
+        word: PeerSummary,
         shards: ShardMap,
         quiet: EndpointBackoffs,
         reader: CacheReader,
--- a/dotterelpaddle/peers/exchange.py
+++ b/dotterelpaddle/peers/exchange.py
@@ -39,7 +39,7 @@
     from dotterelpaddle.peers.directory import PeerDirectory
     from dotterelpaddle.peers.messages import PeerName
     from dotterelpaddle.peers.plan import Recipient, ReportPlan
-    from dotterelpaddle.peers.word import PeersWord
+    from dotterelpaddle.peers.word import PeerSummary
 
 log = get_logger(name=__name__)
 
@@ -99,7 +99,7 @@
         crashes: CrashTracker,
         directory: PeerDirectory,
         plan: ReportPlan,
-        word: PeersWord,
+        word: PeerSummary,
         follower: Follower,
         owners: OwnerExchange,
         generator: random.Random,
--- a/dotterelpaddle/peers/fetching.py
+++ b/dotterelpaddle/peers/fetching.py
@@ -28,7 +28,7 @@
     from dotterelpaddle.network import LinkedBackend
     from dotterelpaddle.peers.cache_lists import CacheLists
     from dotterelpaddle.peers.directory import Peer, PeerDirectory
-    from dotterelpaddle.peers.word import PeersWord
+    from dotterelpaddle.peers.word import PeerSummary
 
 log = get_logger(name=__name__)
 
@@ -71,7 +71,7 @@
         view: FleetView,
         caches: CacheMap,
         directory: PeerDirectory,
-        word: PeersWord,
+        word: PeerSummary,
         documents: DocumentDecoder,
         cache_lists: CacheLists,
         platform_age: Callable[[], float],
--- a/dotterelpaddle/peers/word.py
+++ b/dotterelpaddle/peers/word.py
@@ -20,7 +20,7 @@
     from dotterelpaddle.peers.directory import Peer, PeerDirectory
 
 
-class PeersWord:
+class PeerSummary:
     """Implements `dotterelpaddle.forwarding.interface.Vouching`.
 
     Args:
--- a/dotterelpaddle/tests/peers/fleet.py
+++ b/dotterelpaddle/tests/peers/fleet.py
@@ -22,7 +22,7 @@
     from dotterelpaddle.forwarding.shares import TotalsTracker
     from dotterelpaddle.peers.directory import PeerDirectory
     from dotterelpaddle.peers.plan import ReportPlan
-    from dotterelpaddle.peers.word import PeersWord
+    from dotterelpaddle.peers.word import PeerSummary
 
 CONTROL = Address(host="10.9.9.9", port=9)
 
@@ -38,7 +38,7 @@
     repeats: RetryBudget
     caches: CacheMap
     plan: ReportPlan
-    word: PeersWord
+    word: PeerSummary
     exchange: Any
     sent: int = 0
 
--- a/dotterelpaddle/tests/peers/test_word.py
+++ b/dotterelpaddle/tests/peers/test_word.py
@@ -13,7 +13,7 @@
 from dotterelpaddle.ids import FailureDomain, Revision, RouterId
 from dotterelpaddle.peers.directory import ALIVE_TIME, PeerDirectory
 from dotterelpaddle.peers.messages import PeerName, PeerReport
-from dotterelpaddle.peers.word import PeersWord
+from dotterelpaddle.peers.word import PeerSummary
 from dotterelpaddle.tests.forwarding.entries import make_entry
 
 OWN = Address(host="10.0.0.1", port=1)
@@ -48,7 +48,7 @@
         self.shares = TotalsTracker(
             failure_domain=own.failure_domain, clock=lambda: self.now
         )
-        self.word = PeersWord(
+        self.word = PeerSummary(
             view=view,
             directory=self.directory,
             shares=self.shares,
