--- a/dotterelpaddle/peers/fetching.py
+++ b/dotterelpaddle/peers/fetching.py
@@ -141,7 +141,7 @@
         for each of hundreds of routers that start at once would take one that hands
         them out over a small link half a minute.
         """
-        return not self._caches.is_populated and not self._word.many_routers
+        return not self._caches.is_populated and not self._word.is_large_fleet
 
     async def _fetch(self, *, peer: Peer) -> None:
         """Fetch what another router knows.
--- a/dotterelpaddle/peers/word.py
+++ b/dotterelpaddle/peers/word.py
@@ -59,7 +59,7 @@
         )
 
     @property
-    def many_routers(self) -> bool:
+    def is_large_fleet(self) -> bool:
         """Whether the fleet is so large that a few routers work for the others."""
         told = (peer.report.routers for peer in self._directory.alive)
         return self._shares.has_aggregators or max(told, default=0) > MOST_IN_MESH
