--- a/dotterelpaddle/peers/cache_lists.py
+++ b/dotterelpaddle/peers/cache_lists.py
@@ -122,7 +122,7 @@
 
     async def read(self) -> None:
         """Ask engines, if it is due and this router's part."""
-        owns = self._word.owns
+        owns = self._word.is_domain_owner
         became_owner = bool(owns) and not self._owned
         if not self._view.complete or (self._caches.is_populated and not became_owner):
             return
--- a/dotterelpaddle/peers/word.py
+++ b/dotterelpaddle/peers/word.py
@@ -65,7 +65,7 @@
         return self._shares.has_aggregators or max(told, default=0) > MOST_IN_MESH
 
     @property
-    def owns(self) -> bool | None:
+    def is_domain_owner(self) -> bool | None:
         """Whether this router decides for its failure domain.
 
         None where nobody decides for others, or that is not known yet.
