--- a/dotterelpaddle/peers/fetching.py
+++ b/dotterelpaddle/peers/fetching.py
@@ -127,7 +127,7 @@
         most = max(alive, key=lambda peer: peer.report.parts)
         if most.report.parts and self._lacks_uses:
             return most
-        newest = self._word.better_informed
+        newest = self._word.peer_ahead
         self._looks_behind = 0 if newest is None else self._looks_behind + 1
         # One that is told of all news by others does not call the platform.
         at_once = self._view.endpoints_revision is None or self._word.receives_endpoints
--- a/dotterelpaddle/peers/word.py
+++ b/dotterelpaddle/peers/word.py
@@ -111,7 +111,7 @@
         )
 
     @property
-    def better_informed(self) -> Peer | None:
+    def peer_ahead(self) -> Peer | None:
         """The router with the latest endpoints, if they differ from what is known."""
         revision = self._view.endpoints_revision
         ahead = [
@@ -125,7 +125,7 @@
     @property
     def endpoints_behind(self) -> bool:
         """Whether another router knows other endpoints, and later ones."""
-        return self.better_informed is not None
+        return self.peer_ahead is not None
 
     def _youngest(self, told: Iterable[tuple[Peer, float]]) -> float:
         """Return the least of ages that were told some time ago."""
