--- a/dotterelpaddle/forwarding/follower.py
+++ b/dotterelpaddle/forwarding/follower.py
@@ -236,7 +236,7 @@
         jitter = self._generator.uniform(0.8, 1.2)
         due_at = self._clock() + ENDPOINTS_INTERVAL_SECONDS * jitter
         await anyio.sleep(MIN_ENDPOINTS_INTERVAL_SECONDS * jitter)
-        while self._word.receives_endpoints or not self._word.endpoints_behind:
+        while self._word.receives_endpoints or not self._word.endpoints_outdated:
             age = min(self.endpoints_age, self._word.endpoints_age)
             due = self._word.is_platform_reader or age >= self._endpoints_trust
             if due and self._clock() >= due_at:
--- a/dotterelpaddle/forwarding/interface.py
+++ b/dotterelpaddle/forwarding/interface.py
@@ -265,7 +265,7 @@
         """Seconds since one that knows the same endpoints heard from the source."""
 
     @property
-    def endpoints_behind(self) -> bool:
+    def endpoints_outdated(self) -> bool:
         """Whether another router knows other endpoints, and later ones."""
 
 
--- a/dotterelpaddle/peers/word.py
+++ b/dotterelpaddle/peers/word.py
@@ -123,7 +123,7 @@
         return max(ahead, key=lambda peer: peer.report.revision, default=None)
 
     @property
-    def endpoints_behind(self) -> bool:
+    def endpoints_outdated(self) -> bool:
         """Whether another router knows other endpoints, and later ones."""
         return self.peer_ahead is not None
 
--- a/dotterelpaddle/tests/forwarding/test_follower.py
+++ b/dotterelpaddle/tests/forwarding/test_follower.py
@@ -45,7 +45,7 @@
     ages_told: int = 0
 
     @property
-    def endpoints_behind(self) -> bool:
+    def endpoints_outdated(self) -> bool:
         self.looks += 1
         return self.behind
 
--- a/dotterelpaddle/tests/peers/test_word.py
+++ b/dotterelpaddle/tests/peers/test_word.py
@@ -90,7 +90,7 @@
     assert world.word.is_platform_reader
     assert world.word.endpoints_age == NEVER
     assert world.word.configuration_age == NEVER
-    assert not world.word.endpoints_behind
+    assert not world.word.endpoints_outdated
 
 
 def test_one_of_those_that_hear_each_other_reads_first() -> None:
@@ -130,7 +130,7 @@
 
     assert world.word.endpoints_age == pytest.approx(0.75)
     assert world.word.configuration_age == pytest.approx(0.75)
-    assert not world.word.endpoints_behind
+    assert not world.word.endpoints_outdated
 
 
 def test_router_that_knows_of_no_evacuations_does_not_vouch_for_them() -> None:
@@ -146,14 +146,14 @@
     world.hear("other", view=_view(revision=8, state=EndpointState.DRAINING))
 
     assert world.word.endpoints_age == NEVER
-    assert world.word.endpoints_behind
+    assert world.word.endpoints_outdated
 
 
 def test_earlier_endpoints_of_others_are_no_news() -> None:
     world = World(view=_view(revision=8, state=EndpointState.DRAINING))
     world.hear("other", view=_view(revision=3))
 
-    assert not world.word.endpoints_behind
+    assert not world.word.endpoints_outdated
     assert world.word.endpoints_age == NEVER
 
 
