--- a/dotterelpaddle/peers/cache_lists.py
+++ b/dotterelpaddle/peers/cache_lists.py
@@ -29,7 +29,7 @@
 
 log = get_logger(name=__name__)
 
-ALONE_AFTER = 0.03
+QUERY_DELAY_SECONDS = 0.03
 """Seconds after the start from which a router that knows no places of parts, and
 hears of none, asks endpoints. A router that lives answers the first report within some
 5 ms. Where all have stopped, callers of the last third of a second wait at the door,
@@ -74,7 +74,7 @@
     """
     if owns is not None:
         return Asking.OWN_DOMAIN if owns else Asking.NONE
-    if waited < ALONE_AFTER:
+    if waited < QUERY_DELAY_SECONDS:
         return Asking.LATER
     if engines <= MOST_READ_BY_EACH:
         return Asking.ALL
--- a/dotterelpaddle/tests/peers/test_cache_lists.py
+++ b/dotterelpaddle/tests/peers/test_cache_lists.py
@@ -15,10 +15,10 @@
 from dotterelpaddle.ids import EndpointId, FailureDomain, ModelId, Revision
 from dotterelpaddle.owners.shards import ShardMap
 from dotterelpaddle.peers.cache_lists import (
-    ALONE_AFTER,
     FIRST_AFTER,
     GIVEN_UP_AFTER,
     MOST_READ_BY_EACH,
+    QUERY_DELAY_SECONDS,
     CacheLists,
 )
 from dotterelpaddle.tests.forwarding.entries import make_entry
@@ -93,7 +93,7 @@
 async def test_each_router_asks_a_few_engines() -> None:
     world = World(engines=MOST_READ_BY_EACH, first=False)
 
-    await world.look(ALONE_AFTER)
+    await world.look(QUERY_DELAY_SECONDS)
 
     assert len(world.asked) == MOST_READ_BY_EACH
     assert world.caches.is_populated
@@ -102,7 +102,7 @@
 async def test_one_router_asks_many_engines() -> None:
     world = World(engines=MOST_READ_BY_EACH + 1, first=True)
 
-    await world.look(ALONE_AFTER)
+    await world.look(QUERY_DELAY_SECONDS)
     early = len(world.asked)
     await world.look(FIRST_AFTER)
 
@@ -128,7 +128,7 @@
     world = World(engines=3, first=False)
     world.silent.add("engine-1")
     async with anyio.create_task_group() as tasks:
-        tasks.start_soon(world.look, ALONE_AFTER)
+        tasks.start_soon(world.look, QUERY_DELAY_SECONDS)
         with anyio.fail_after(LIMIT):
             await world.caches._known.wait()
         read = len(world.caches.all_uses())
@@ -141,7 +141,7 @@
 async def test_member_of_a_large_fleet_asks_no_engine() -> None:
     """Hundreds of routers start at once; each hears of few others at first."""
     world = World(engines=59, first=True)
-    await world.look(ALONE_AFTER)
+    await world.look(QUERY_DELAY_SECONDS)
     world.word.owns = False
     await world.look(FIRST_AFTER)
 
@@ -152,7 +152,7 @@
 async def test_owner_asks_the_engines_of_its_failure_domain_once() -> None:
     world = World(engines=59, first=False)
     world.word.owns = False
-    await world.look(ALONE_AFTER)
+    await world.look(QUERY_DELAY_SECONDS)
     world.word.owns = True
     await world.look(FIRST_AFTER)
     asked = set(world.asked)
@@ -167,7 +167,7 @@
     world = World(engines=3, first=True)
     quiet = EndpointId("engine-1")
     world.quiet.record(endpoint=quiet, seconds=5.0)
-    await world.look(ALONE_AFTER)
+    await world.look(QUERY_DELAY_SECONDS)
 
     assert world.asked == {"engine-0", "engine-2"}
 
@@ -175,7 +175,7 @@
 async def test_engine_whose_list_says_that_it_leaves_gets_no_work() -> None:
     world = World(engines=3, first=True)
     world.leaving.add("engine-1")
-    await world.look(ALONE_AFTER)
+    await world.look(QUERY_DELAY_SECONDS)
     entry = world.view.entries[0]
 
     ready = world.view.ready(service=entry.service)
