--- a/dotterelpaddle/peers/cache_lists.py
+++ b/dotterelpaddle/peers/cache_lists.py
@@ -35,7 +35,7 @@
 5 ms. Where all have stopped, callers of the last third of a second wait at the door,
 and each moment that this takes makes more of their streams late."""
 
-ENOUGH_TIME = 0.06
+MAX_QUERY_WAIT_SECONDS = 0.06
 """Seconds that requests wait for engines' lists; engines in reach need some 0.02 s, and
 those behind a cut would make streams wait for 0.3 s, by which they are late."""
 
@@ -162,7 +162,7 @@
 
         Engines behind a cut never do; what the others told is all that can be used.
         """
-        await anyio.sleep(ENOUGH_TIME)
+        await anyio.sleep(MAX_QUERY_WAIT_SECONDS)
         self._caches.mark_populated()
 
     async def _read_one(self, entry: EndpointEntry) -> None:
