--- a/dotterelpaddle/peers/cache_lists.py
+++ b/dotterelpaddle/peers/cache_lists.py
@@ -39,7 +39,7 @@
 """Seconds that requests wait for engines' lists; engines in reach need some 0.02 s, and
 those behind a cut would make streams wait for 0.3 s, by which they are late."""
 
-MOST_READ_BY_EACH = 16
+MAX_ENGINES_QUERIED_BY_ALL = 16
 """Engines that every router asks for itself, as it takes 0.1 s; of more one router
 asks all, since each question takes an engine some of its time."""
 
@@ -76,7 +76,7 @@
         return Asking.OWN_DOMAIN if owns else Asking.NONE
     if waited < QUERY_DELAY_SECONDS:
         return Asking.LATER
-    if engines <= MOST_READ_BY_EACH:
+    if engines <= MAX_ENGINES_QUERIED_BY_ALL:
         return Asking.ALL
     if waited >= FIRST_AFTER and first:
         return Asking.ALL
--- a/dotterelpaddle/tests/peers/test_cache_lists.py
+++ b/dotterelpaddle/tests/peers/test_cache_lists.py
@@ -17,7 +17,7 @@
 from dotterelpaddle.peers.cache_lists import (
     FIRST_AFTER,
     GIVEN_UP_AFTER,
-    MOST_READ_BY_EACH,
+    MAX_ENGINES_QUERIED_BY_ALL,
     QUERY_DELAY_SECONDS,
     CacheLists,
 )
@@ -91,28 +91,28 @@
 
 
 async def test_each_router_asks_a_few_engines() -> None:
-    world = World(engines=MOST_READ_BY_EACH, first=False)
+    world = World(engines=MAX_ENGINES_QUERIED_BY_ALL, first=False)
 
     await world.look(QUERY_DELAY_SECONDS)
 
-    assert len(world.asked) == MOST_READ_BY_EACH
+    assert len(world.asked) == MAX_ENGINES_QUERIED_BY_ALL
     assert world.caches.is_populated
 
 
 async def test_one_router_asks_many_engines() -> None:
-    world = World(engines=MOST_READ_BY_EACH + 1, first=True)
+    world = World(engines=MAX_ENGINES_QUERIED_BY_ALL + 1, first=True)
 
     await world.look(QUERY_DELAY_SECONDS)
     early = len(world.asked)
     await world.look(FIRST_AFTER)
 
     assert early == 0
-    assert len(world.asked) == MOST_READ_BY_EACH + 1
+    assert len(world.asked) == MAX_ENGINES_QUERIED_BY_ALL + 1
     assert world.caches.part_count == 1
 
 
 async def test_the_others_wait_for_it_and_not_for_ever() -> None:
-    world = World(engines=MOST_READ_BY_EACH + 1, first=False)
+    world = World(engines=MAX_ENGINES_QUERIED_BY_ALL + 1, first=False)
 
     await world.look(FIRST_AFTER)
     waiting = world.caches.is_populated
