--- a/dotterelpaddle/peers/cache_lists.py
+++ b/dotterelpaddle/peers/cache_lists.py
@@ -43,7 +43,7 @@
 """Engines that every router asks for itself, as it takes 0.1 s; of more one router
 asks all, since each question takes an engine some of its time."""
 
-FIRST_AFTER = 1.0
+READER_SETTLED_SECONDS = 1.0
 """Seconds after the start until the router that asks for all is known to be that.
 Sooner most of hundreds of routers that start together hear of hardly any other one,
 take themselves for the first, and ask all engines."""
@@ -78,7 +78,7 @@
         return Asking.LATER
     if engines <= MAX_ENGINES_QUERIED_BY_ALL:
         return Asking.ALL
-    if waited >= FIRST_AFTER and first:
+    if waited >= READER_SETTLED_SECONDS and first:
         return Asking.ALL
     return Asking.NONE if waited >= GIVEN_UP_AFTER else Asking.LATER
 
--- a/dotterelpaddle/tests/peers/test_cache_lists.py
+++ b/dotterelpaddle/tests/peers/test_cache_lists.py
@@ -15,10 +15,10 @@
 from dotterelpaddle.ids import EndpointId, FailureDomain, ModelId, Revision
 from dotterelpaddle.owners.shards import ShardMap
 from dotterelpaddle.peers.cache_lists import (
-    FIRST_AFTER,
     GIVEN_UP_AFTER,
     MAX_ENGINES_QUERIED_BY_ALL,
     QUERY_DELAY_SECONDS,
+    READER_SETTLED_SECONDS,
     CacheLists,
 )
 from dotterelpaddle.tests.forwarding.entries import make_entry
@@ -104,7 +104,7 @@
 
     await world.look(QUERY_DELAY_SECONDS)
     early = len(world.asked)
-    await world.look(FIRST_AFTER)
+    await world.look(READER_SETTLED_SECONDS)
 
     assert early == 0
     assert len(world.asked) == MAX_ENGINES_QUERIED_BY_ALL + 1
@@ -114,7 +114,7 @@
 async def test_the_others_wait_for_it_and_not_for_ever() -> None:
     world = World(engines=MAX_ENGINES_QUERIED_BY_ALL + 1, first=False)
 
-    await world.look(FIRST_AFTER)
+    await world.look(READER_SETTLED_SECONDS)
     waiting = world.caches.is_populated
     await world.look(GIVEN_UP_AFTER)
 
@@ -143,7 +143,7 @@
     world = World(engines=59, first=True)
     await world.look(QUERY_DELAY_SECONDS)
     world.word.owns = False
-    await world.look(FIRST_AFTER)
+    await world.look(READER_SETTLED_SECONDS)
 
     assert world.caches.is_populated
     assert not world.asked
@@ -154,7 +154,7 @@
     world.word.owns = False
     await world.look(QUERY_DELAY_SECONDS)
     world.word.owns = True
-    await world.look(FIRST_AFTER)
+    await world.look(READER_SETTLED_SECONDS)
     asked = set(world.asked)
     world.asked.clear()
     await world.look(GIVEN_UP_AFTER)
