--- a/dotterelpaddle/peers/cache_lists.py
+++ b/dotterelpaddle/peers/cache_lists.py
@@ -48,7 +48,7 @@
 Sooner most of hundreds of routers that start together hear of hardly any other one,
 take themselves for the first, and ask all engines."""
 
-GIVEN_UP_AFTER = 3.0
+GIVE_UP_SECONDS = 3.0
 """Seconds after the start after which the others do without its answer."""
 
 
@@ -80,7 +80,7 @@
         return Asking.ALL
     if waited >= READER_SETTLED_SECONDS and first:
         return Asking.ALL
-    return Asking.NONE if waited >= GIVEN_UP_AFTER else Asking.LATER
+    return Asking.NONE if waited >= GIVE_UP_SECONDS else Asking.LATER
 
 
 class CacheLists:
--- a/dotterelpaddle/tests/peers/test_cache_lists.py
+++ b/dotterelpaddle/tests/peers/test_cache_lists.py
@@ -15,7 +15,7 @@
 from dotterelpaddle.ids import EndpointId, FailureDomain, ModelId, Revision
 from dotterelpaddle.owners.shards import ShardMap
 from dotterelpaddle.peers.cache_lists import (
-    GIVEN_UP_AFTER,
+    GIVE_UP_SECONDS,
     MAX_ENGINES_QUERIED_BY_ALL,
     QUERY_DELAY_SECONDS,
     READER_SETTLED_SECONDS,
@@ -116,7 +116,7 @@
 
     await world.look(READER_SETTLED_SECONDS)
     waiting = world.caches.is_populated
-    await world.look(GIVEN_UP_AFTER)
+    await world.look(GIVE_UP_SECONDS)
 
     assert not waiting
     assert world.caches.is_populated
@@ -157,7 +157,7 @@
     await world.look(READER_SETTLED_SECONDS)
     asked = set(world.asked)
     world.asked.clear()
-    await world.look(GIVEN_UP_AFTER)
+    await world.look(GIVE_UP_SECONDS)
 
     assert asked == {f"engine-{number}" for number in range(0, 59, 5)}
     assert not world.asked
