--- a/dotterelpaddle/peers/cache_lists.py
+++ b/dotterelpaddle/peers/cache_lists.py
@@ -52,7 +52,7 @@
 """Seconds after the start after which the others do without its answer."""
 
 
-class Asking(Enum):
+class QueryScope(Enum):
     """Which engines a router asks."""
 
     LATER = "later"
@@ -63,7 +63,7 @@
 
 def whom_to_ask(
     *, engines: int, waited: float, owns: bool | None, first: bool
-) -> Asking:
+) -> QueryScope:
     """Decide which engines a router asks that does not know their caches.
 
     Args:
@@ -73,14 +73,14 @@
         first: Whether it reads for all routers that it hears.
     """
     if owns is not None:
-        return Asking.OWN_DOMAIN if owns else Asking.NONE
+        return QueryScope.OWN_DOMAIN if owns else QueryScope.NONE
     if waited < QUERY_DELAY_SECONDS:
-        return Asking.LATER
+        return QueryScope.LATER
     if engines <= MAX_ENGINES_QUERIED_BY_ALL:
-        return Asking.ALL
+        return QueryScope.ALL
     if waited >= READER_SETTLED_SECONDS and first:
-        return Asking.ALL
-    return Asking.NONE if waited >= GIVE_UP_SECONDS else Asking.LATER
+        return QueryScope.ALL
+    return QueryScope.NONE if waited >= GIVE_UP_SECONDS else QueryScope.LATER
 
 
 class CacheLists:
@@ -136,16 +136,16 @@
             owns=owns,
             first=self._word.is_platform_reader,
         ):
-            case Asking.NONE:
+            case QueryScope.NONE:
                 self._caches.mark_populated()
-            case Asking.OWN_DOMAIN:
+            case QueryScope.OWN_DOMAIN:
                 self._owned = True
                 own = self._failure_domain
                 owning = self._shards.owning_domain
                 await self._ask(
                     [each for each in engines if owning(endpoint=each.endpoint) == own]
                 )
-            case Asking.ALL:
+            case QueryScope.ALL:
                 await self._ask(engines)
 
     async def _ask(self, engines: Sequence[EndpointEntry]) -> None:
