--- a/dotterelpaddle/peers/cache_lists.py
+++ b/dotterelpaddle/peers/cache_lists.py
@@ -61,7 +61,7 @@
     ALL = "all"
 
 
-def whom_to_ask(
+def choose_query_scope(
     *, engines: int, waited: float, owns: bool | None, first: bool
 ) -> QueryScope:
     """Decide which engines a router asks that does not know their caches.
@@ -130,7 +130,7 @@
             entries=self._view.routed_entries
         )
         engines = [entry for entry in asked if entry.models]
-        match whom_to_ask(
+        match choose_query_scope(
             engines=len(engines),
             waited=self._clock() - self._started_at,
             owns=owns,
