--- a/dotterelpaddle/forwarding/parts.py
+++ b/dotterelpaddle/forwarding/parts.py
@@ -42,7 +42,7 @@
 from dotterelpaddle.owners.placing import OwnersPlacer
 from dotterelpaddle.owners.shards import ShardMap
 from dotterelpaddle.owners.telling import OwnRequests
-from dotterelpaddle.peers.cache_lists import CacheLists
+from dotterelpaddle.peers.cache_lists import CacheDiscovery
 from dotterelpaddle.peers.directory import PeerDirectory
 from dotterelpaddle.peers.exchange import PeerExchange
 from dotterelpaddle.peers.fetching import Fetcher
@@ -318,7 +318,7 @@
             directory=knowledge.directory,
             word=word,
             documents=surroundings.documents,
-            cache_lists=CacheLists(
+            cache_lists=CacheDiscovery(
                 view=knowledge.view,
                 caches=knowledge.caches,
                 word=word,
--- a/dotterelpaddle/peers/cache_lists.py
+++ b/dotterelpaddle/peers/cache_lists.py
@@ -83,7 +83,7 @@
     return QueryScope.NONE if waited >= GIVE_UP_SECONDS else QueryScope.LATER
 
 
-class CacheLists:
+class CacheDiscovery:
     """Learns from engines what they have cached.
 
     Args:
--- a/dotterelpaddle/peers/fetching.py
+++ b/dotterelpaddle/peers/fetching.py
@@ -26,7 +26,7 @@
     from dotterelpaddle.forwarding.interface import DocumentDecoder
     from dotterelpaddle.forwarding.view import FleetView
     from dotterelpaddle.network import LinkedBackend
-    from dotterelpaddle.peers.cache_lists import CacheLists
+    from dotterelpaddle.peers.cache_lists import CacheDiscovery
     from dotterelpaddle.peers.directory import Peer, PeerDirectory
     from dotterelpaddle.peers.word import PeerSummary
 
@@ -73,7 +73,7 @@
         directory: PeerDirectory,
         word: PeerSummary,
         documents: DocumentDecoder,
-        cache_lists: CacheLists,
+        cache_lists: CacheDiscovery,
         platform_age: Callable[[], float],
         backend: LinkedBackend,
         clock: Clock,
--- a/dotterelpaddle/tests/peers/test_cache_lists.py
+++ b/dotterelpaddle/tests/peers/test_cache_lists.py
@@ -19,7 +19,7 @@
     MAX_ENGINES_QUERIED_BY_ALL,
     QUERY_DELAY_SECONDS,
     READER_SETTLED_SECONDS,
-    CacheLists,
+    CacheDiscovery,
 )
 from dotterelpaddle.tests.forwarding.entries import make_entry
 
@@ -64,7 +64,7 @@
         self.caches = CacheMap(clock=lambda: self.now)
         self.word = SimpleNamespace(reads_first=first, owns=None)
         self.quiet = EndpointBackoffs(clock=lambda: self.now)
-        self.lists = CacheLists(
+        self.lists = CacheDiscovery(
             view=self.view,
             caches=self.caches,
             word=self.word,  # type: ignore[arg-type]
