--- a/dotterelpaddle/peers/cache_lists.py
+++ b/dotterelpaddle/peers/cache_lists.py
@@ -120,7 +120,7 @@
         self._started_at = clock()
         self._owned = False
 
-    async def read(self) -> None:
+    async def discover(self) -> None:
         """Ask engines, if it is due and this router's part."""
         owns = self._word.is_domain_owner
         became_owner = bool(owns) and not self._owned
--- a/dotterelpaddle/peers/fetching.py
+++ b/dotterelpaddle/peers/fetching.py
@@ -105,7 +105,7 @@
                 await anyio.sleep(pause * self._generator.uniform(0.8, 1.2))
                 peer = self._better_informed()
                 if peer is None:
-                    await self._cache_lists.read()
+                    await self._cache_lists.discover()
                     continue
                 try:
                     await self._fetch(peer=peer)
--- a/dotterelpaddle/tests/peers/test_cache_lists.py
+++ b/dotterelpaddle/tests/peers/test_cache_lists.py
@@ -87,7 +87,7 @@
 
     async def look(self, at: float) -> None:
         self.now = at
-        await self.lists.read()
+        await self.lists.discover()
 
 
 async def test_each_router_asks_a_few_engines() -> None:
