--- a/dotterelpaddle/peers/crash_notes.py
+++ b/dotterelpaddle/peers/crash_notes.py
@@ -10,7 +10,7 @@
 if TYPE_CHECKING:
     from collections.abc import Iterable
 
-KINDS = frozenset(kind.value for kind in NoteKind)
+KNOWN_KINDS = frozenset(kind.value for kind in NoteKind)
 
 
 def encode_notes(*, notes: Iterable[CrashNote]) -> list[Any]:
@@ -36,7 +36,7 @@
         TypeError: If they are no notes.
         ValueError: Likewise.
     """
-    return tuple(_decode(each) for each in fields if each[0] in KINDS)
+    return tuple(_decode(each) for each in fields if each[0] in KNOWN_KINDS)
 
 
 def _decode(fields: Any) -> CrashNote:
