--- a/dotterelpaddle/peers/datagrams.py
+++ b/dotterelpaddle/peers/datagrams.py
@@ -22,7 +22,7 @@
 
 log = get_logger(name=__name__)
 
-MOST_WAITING = 2_000
+MAX_QUEUED_DATAGRAMS = 2_000
 """Datagrams that wait to be read, a second's of an aggregator; of more the oldest are
 dropped."""
 
@@ -31,12 +31,12 @@
     """Keeps what has come in until it is read."""
 
     def __init__(self) -> None:
-        self._waiting: deque[tuple[bytes, Address]] = deque(maxlen=MOST_WAITING)
+        self._waiting: deque[tuple[bytes, Address]] = deque(maxlen=MAX_QUEUED_DATAGRAMS)
         self._reader: asyncio.Future[None] | None = None
 
     def datagram_received(self, data: bytes, addr: tuple[str | Any, int]) -> None:
-        if len(self._waiting) == MOST_WAITING:
-            log.warning("datagram_dropped", waiting=MOST_WAITING)
+        if len(self._waiting) == MAX_QUEUED_DATAGRAMS:
+            log.warning("datagram_dropped", waiting=MAX_QUEUED_DATAGRAMS)
         self._waiting.append((data, Address(host=addr[0], port=addr[1])))
         if self._reader is not None and not self._reader.done():
             self._reader.set_result(None)
