--- a/dotterelpaddle/owners/asking.py
+++ b/dotterelpaddle/owners/asking.py
@@ -27,7 +27,7 @@
     from dotterelpaddle.owners.messages import Wanted
     from dotterelpaddle.owners.owner import Owner
     from dotterelpaddle.owners.telling import OpenQuestion, OwnRequests
-    from dotterelpaddle.peers.datagrams import Datagrams
+    from dotterelpaddle.peers.datagrams import DatagramSocket
     from dotterelpaddle.peers.directory import PeerDirectory
     from dotterelpaddle.peers.messages import PeerName
 
@@ -68,7 +68,7 @@
         self._requests = requests
         self._owner = owner
         self._clock = clock
-        self._datagrams: Datagrams | None = None
+        self._datagrams: DatagramSocket | None = None
         self._silent_until: dict[RouterId, float] = {}
 
     @property
@@ -80,7 +80,7 @@
         }
         return tuple(self._silent_until)
 
-    async def run(self, datagrams: Datagrams) -> None:
+    async def run(self, datagrams: DatagramSocket) -> None:
         """Tell owners what is in flight until cancelled.
 
         Args:
--- a/dotterelpaddle/peers/datagrams.py
+++ b/dotterelpaddle/peers/datagrams.py
@@ -51,7 +51,7 @@
         return self._waiting.popleft()
 
 
-class Datagrams:
+class DatagramSocket:
     """Sends and receives datagrams.
 
     Args:
@@ -88,7 +88,9 @@
 
 
 @asynccontextmanager
-async def open_datagrams(*, address: Address, links: Links) -> AsyncIterator[Datagrams]:
+async def open_datagrams(
+    *, address: Address, links: Links
+) -> AsyncIterator[DatagramSocket]:
     """Open the socket for the time of the context.
 
     Args:
@@ -100,6 +102,6 @@
         _Inbox, local_addr=(address.host, address.port), family=socket.AF_INET
     )
     try:
-        yield Datagrams(transport=transport, inbox=inbox, links=links)
+        yield DatagramSocket(transport=transport, inbox=inbox, links=links)
     finally:
         transport.close()
--- a/dotterelpaddle/peers/exchange.py
+++ b/dotterelpaddle/peers/exchange.py
@@ -35,7 +35,7 @@
     from dotterelpaddle.forwarding.uses import PartUse
     from dotterelpaddle.forwarding.view import FleetView
     from dotterelpaddle.owners.asking import OwnerExchange
-    from dotterelpaddle.peers.datagrams import Datagrams
+    from dotterelpaddle.peers.datagrams import DatagramSocket
     from dotterelpaddle.peers.directory import PeerDirectory
     from dotterelpaddle.peers.messages import PeerName
     from dotterelpaddle.peers.plan import Recipient, ReportPlan
@@ -122,7 +122,7 @@
         self._rounds = 0
         self._dropped = 0
 
-    async def run(self, datagrams: Datagrams, control: Address) -> None:
+    async def run(self, datagrams: DatagramSocket, control: Address) -> None:
         """Exchange reports until cancelled.
 
         Args:
@@ -133,7 +133,9 @@
             tasks.start_soon(self._receive, datagrams, control)
             tasks.start_soon(self._report_regularly, datagrams, control)
 
-    async def _report_regularly(self, datagrams: Datagrams, control: Address) -> None:
+    async def _report_regularly(
+        self, datagrams: DatagramSocket, control: Address
+    ) -> None:
         try:
             while True:
                 await self._report_to_all(datagrams, control)
@@ -143,7 +145,7 @@
             with anyio.CancelScope(shield=True):
                 await self._report_to_all(datagrams, control)
 
-    async def _report_to_all(self, datagrams: Datagrams, control: Address) -> None:
+    async def _report_to_all(self, datagrams: DatagramSocket, control: Address) -> None:
         self._rounds += 1
         recipients = self._plan.recipients()
         names_due = self._rounds <= PEERS_EVERY or self._rounds % PEERS_EVERY == 1
@@ -251,7 +253,7 @@
             rest = (rest + rest)[turn : turn + room]
         return (*first, *rest)
 
-    async def _receive(self, datagrams: Datagrams, control: Address) -> None:
+    async def _receive(self, datagrams: DatagramSocket, control: Address) -> None:
         while True:
             datagram, address = await datagrams.receive()
             if datagram.startswith(START):
@@ -274,7 +276,7 @@
                 await self._answer(datagrams, control, address)
 
     async def _answer(
-        self, datagrams: Datagrams, control: Address, address: Address
+        self, datagrams: DatagramSocket, control: Address, address: Address
     ) -> None:
         """Tell a router at once who there is."""
         answer = self._report(control=control, names=self._names())
