--- a/dotterelpaddle/forwarding/router.py
+++ b/dotterelpaddle/forwarding/router.py
@@ -14,7 +14,7 @@
 from dotterelpaddle.http_server import serve
 from dotterelpaddle.logs import get_logger
 from dotterelpaddle.peers.app import ControlApp
-from dotterelpaddle.peers.datagrams import open_datagrams
+from dotterelpaddle.peers.datagrams import open_datagram_socket
 
 if TYPE_CHECKING:
     import socket
@@ -73,7 +73,9 @@
     app, knowledge = parts.app, parts.state
     grace = settings.shutdown_timeout - settings.drain_time - SHUTDOWN_MARGIN_SECONDS
     async with (
-        open_datagrams(address=settings.peers, links=surroundings.links) as datagrams,
+        open_datagram_socket(
+            address=settings.peers, links=surroundings.links
+        ) as datagrams,
         anyio.create_task_group() as tasks,
         AsyncExitStack() as stack,
     ):
--- a/dotterelpaddle/tests/peers/test_datagrams.py
+++ b/dotterelpaddle/tests/peers/test_datagrams.py
@@ -7,7 +7,11 @@
 
 from dotterelpaddle.address import Address
 from dotterelpaddle.links import Links
-from dotterelpaddle.peers.datagrams import MAX_QUEUED_DATAGRAMS, _Inbox, open_datagrams
+from dotterelpaddle.peers.datagrams import (
+    MAX_QUEUED_DATAGRAMS,
+    _Inbox,
+    open_datagram_socket,
+)
 
 pytestmark = pytest.mark.anyio
 
@@ -19,8 +23,8 @@
 async def test_datagrams_come_with_their_sender() -> None:
     links = Links()
     async with (
-        open_datagrams(address=ANYWHERE, links=links) as one,
-        open_datagrams(address=ANYWHERE, links=links) as other,
+        open_datagram_socket(address=ANYWHERE, links=links) as one,
+        open_datagram_socket(address=ANYWHERE, links=links) as other,
     ):
         await one.send(b"first", other.address)
         await one.send(b"second", other.address)
@@ -32,7 +36,7 @@
 
 async def test_reader_that_waits_can_be_cancelled() -> None:
     """Guards against a router that never ends because it listens."""
-    async with open_datagrams(address=ANYWHERE, links=Links()) as datagrams:
+    async with open_datagram_socket(address=ANYWHERE, links=Links()) as datagrams:
         with anyio.move_on_after(0.01) as scope:
             await datagrams.receive()
 
