--- a/dotterelpaddle/peers/directory.py
+++ b/dotterelpaddle/peers/directory.py
@@ -23,7 +23,7 @@
 
 log = get_logger(name=__name__)
 
-ALIVE_TIME = 1.2
+PEER_TIMEOUT_SECONDS = 1.2
 """Seconds without a report after which a router counts as silent."""
 
 HEARD_TIME = 0.7
@@ -303,7 +303,7 @@
         now = self._clock()
         for router, peer in tuple(self._peers.items()):
             silent = now - peer.heard_at
-            if peer.alive and silent > ALIVE_TIME:
+            if peer.alive and silent > PEER_TIMEOUT_SECONDS:
                 peer.alive = False
                 log.warning("peer_lost", router=router, silent_for=round(silent, 3))
             if silent > FORGET_TIME:
@@ -363,7 +363,7 @@
             return False
         peer = self._peers.get(router)
         heard_at = peer.heard_at if peer is not None else asked_at
-        return self._clock() - max(asked_at, heard_at) > ALIVE_TIME
+        return self._clock() - max(asked_at, heard_at) > PEER_TIMEOUT_SECONDS
 
 
 def _rank(name: PeerName) -> Rank:
--- a/dotterelpaddle/tests/owners/test_starts.py
+++ b/dotterelpaddle/tests/owners/test_starts.py
@@ -11,7 +11,7 @@
 import anyio
 import pytest
 
-from dotterelpaddle.peers.directory import ALIVE_TIME
+from dotterelpaddle.peers.directory import PEER_TIMEOUT_SECONDS
 from dotterelpaddle.tests.owners.fleet import OwnedFleet
 from dotterelpaddle.tests.owners.hosts import DOMAINS, Router
 from dotterelpaddle.tests.virtual_time import run_in_virtual_time
@@ -60,4 +60,6 @@
 def test_routers_that_start_at_once_soon_agree_on_owners(seed: int) -> None:
     fleet = OwnedFleet(seed=seed)
 
-    assert run_in_virtual_time(lambda: _agreed_at(fleet)) <= SPREAD + ALIVE_TIME
+    assert (
+        run_in_virtual_time(lambda: _agreed_at(fleet)) <= SPREAD + PEER_TIMEOUT_SECONDS
+    )
--- a/dotterelpaddle/tests/peers/test_messages.py
+++ b/dotterelpaddle/tests/peers/test_messages.py
@@ -26,9 +26,9 @@
     ServiceName,
 )
 from dotterelpaddle.peers.directory import (
-    ALIVE_TIME,
     FORGET_TIME,
     HEARD_TIME,
+    PEER_TIMEOUT_SECONDS,
     SECOND_TRY_TIME,
     SEED_TIME,
     PeerDirectory,
@@ -207,7 +207,7 @@
 def test_silent_router_is_lost_and_found_again() -> None:
     world = _World()
     world.directory.hear(report=_report(), address=OTHER)
-    world.now = ALIVE_TIME + 0.1
+    world.now = PEER_TIMEOUT_SECONDS + 0.1
     world.directory.look()
     lost = world.directory.alive
     world.directory.hear(report=_report(sequence=2), address=OTHER)
--- a/dotterelpaddle/tests/peers/test_plan.py
+++ b/dotterelpaddle/tests/peers/test_plan.py
@@ -8,7 +8,7 @@
 import pytest
 
 from dotterelpaddle.ids import EndpointId, FailureDomain
-from dotterelpaddle.peers.directory import ALIVE_TIME, LATE_MEMORY
+from dotterelpaddle.peers.directory import LATE_MEMORY, PEER_TIMEOUT_SECONDS
 from dotterelpaddle.peers.plan import MOST_IN_MESH
 from dotterelpaddle.tests.peers.fleet import Fleet
 
@@ -88,7 +88,7 @@
     fleet.down = {node.name.address for node in ended}
     held -= sum(node.loads.own[A] for node in ended)
 
-    await fleet.run(2 * ALIVE_TIME + 2.0)
+    await fleet.run(2 * PEER_TIMEOUT_SECONDS + 2.0)
 
     rest = [node for node in fleet.nodes if node not in ended]
     assert {node.load(A) for node in rest} == {held}
@@ -161,7 +161,7 @@
     before = fleet.nodes[0].directory.owners()[DOMAINS[0]]
     fleet.down.add(before.address)
 
-    await fleet.run(2 * ALIVE_TIME)
+    await fleet.run(2 * PEER_TIMEOUT_SECONDS)
 
     alive = [node for node in fleet.nodes if node.name != before]
     after = {node.directory.owners()[DOMAINS[0]].router for node in alive}
@@ -252,7 +252,7 @@
         await fleet.run(0.2)
         assert all(node.directory.owners().keys() == set(DOMAINS) for node in staying)
         assert all(node.load(A) >= 0.9 * held for node in staying)
-    await fleet.run(ALIVE_TIME)
+    await fleet.run(PEER_TIMEOUT_SECONDS)
     assert {node.load(A) for node in staying} == {held}
 
 
--- a/dotterelpaddle/tests/peers/test_word.py
+++ b/dotterelpaddle/tests/peers/test_word.py
@@ -11,7 +11,7 @@
 from dotterelpaddle.forwarding.shares import RequestTotals, TotalsTracker
 from dotterelpaddle.forwarding.view import FleetView
 from dotterelpaddle.ids import FailureDomain, Revision, RouterId
-from dotterelpaddle.peers.directory import ALIVE_TIME, PeerDirectory
+from dotterelpaddle.peers.directory import PEER_TIMEOUT_SECONDS, PeerDirectory
 from dotterelpaddle.peers.messages import PeerName, PeerReport
 from dotterelpaddle.peers.word import PeerSummary
 from dotterelpaddle.tests.forwarding.entries import make_entry
@@ -160,7 +160,7 @@
 def test_router_that_fell_silent_vouches_for_nothing() -> None:
     world = World(view=_view(revision=3))
     world.hear("other", view=_view(revision=3))
-    world.now = 2 * ALIVE_TIME
+    world.now = 2 * PEER_TIMEOUT_SECONDS
     world.directory.look()
 
     assert world.word.endpoints_age == NEVER
