--- a/dotterelpaddle/peers/directory.py
+++ b/dotterelpaddle/peers/directory.py
@@ -26,7 +26,7 @@
 PEER_TIMEOUT_SECONDS = 1.2
 """Seconds without a report after which a router counts as silent."""
 
-HEARD_TIME = 0.7
+RECENT_REPORT_SECONDS = 0.7
 """Seconds without a report, three of them, after which a router may be cut off."""
 
 FORGET_TIME = 30.0
@@ -156,7 +156,7 @@
 
     def just_heard(self) -> tuple[Peer, ...]:
         """Routers of which a report has just come."""
-        oldest = self._clock() - HEARD_TIME
+        oldest = self._clock() - RECENT_REPORT_SECONDS
         return tuple(peer for peer in self._peers.values() if peer.heard_at > oldest)
 
     def heard_domains(self) -> dict[FailureDomain, bool]:
--- a/dotterelpaddle/tests/peers/test_messages.py
+++ b/dotterelpaddle/tests/peers/test_messages.py
@@ -27,8 +27,8 @@
 )
 from dotterelpaddle.peers.directory import (
     FORGET_TIME,
-    HEARD_TIME,
     PEER_TIMEOUT_SECONDS,
+    RECENT_REPORT_SECONDS,
     SECOND_TRY_TIME,
     SEED_TIME,
     PeerDirectory,
@@ -226,7 +226,7 @@
             peers=(),
         )
         world.directory.hear(report=report, address=Address(host=name, port=1))
-    world.now = HEARD_TIME + 0.1
+    world.now = RECENT_REPORT_SECONDS + 0.1
     later = _report(
         sequence=2,
         router=RouterId("two"),
