--- a/dotterelpaddle/peers/directory.py
+++ b/dotterelpaddle/peers/directory.py
@@ -29,7 +29,7 @@
 RECENT_REPORT_SECONDS = 0.7
 """Seconds without a report, three of them, after which a router may be cut off."""
 
-FORGET_TIME = 30.0
+PEER_EXPIRY_SECONDS = 30.0
 """Seconds without a report after which an address is not tried any more."""
 
 SEED_TIME = 1.0
@@ -306,12 +306,12 @@
             if peer.alive and silent > PEER_TIMEOUT_SECONDS:
                 peer.alive = False
                 log.warning("peer_lost", router=router, silent_for=round(silent, 3))
-            if silent > FORGET_TIME:
+            if silent > PEER_EXPIRY_SECONDS:
                 del self._peers[router]
                 self._named.pop(router, None)
                 self._tries.pop(peer.address, None)
         for router, named in tuple(self._named.items()):
-            if now - named.at > FORGET_TIME:
+            if now - named.at > PEER_EXPIRY_SECONDS:
                 del self._named[router]
         for router in self._asked.keys() - self._peers.keys() - self._named.keys():
             del self._asked[router]
--- a/dotterelpaddle/tests/peers/test_messages.py
+++ b/dotterelpaddle/tests/peers/test_messages.py
@@ -26,7 +26,7 @@
     ServiceName,
 )
 from dotterelpaddle.peers.directory import (
-    FORGET_TIME,
+    PEER_EXPIRY_SECONDS,
     PEER_TIMEOUT_SECONDS,
     RECENT_REPORT_SECONDS,
     SECOND_TRY_TIME,
@@ -273,7 +273,7 @@
 def test_router_that_is_long_silent_is_forgotten() -> None:
     world = _World()
     world.directory.hear(report=_report(peers=()), address=THIRD)
-    world.now = FORGET_TIME + 1
+    world.now = PEER_EXPIRY_SECONDS + 1
     world.directory.look()
 
     assert world.directory.count == 1
