--- a/dotterelpaddle/peers/directory.py
+++ b/dotterelpaddle/peers/directory.py
@@ -32,7 +32,7 @@
 PEER_EXPIRY_SECONDS = 30.0
 """Seconds without a report after which an address is not tried any more."""
 
-SEED_TIME = 1.0
+RETRY_SECONDS = 1.0
 """Seconds between reports to addresses that do not answer."""
 
 SECOND_TRY_TIME = 0.3
@@ -104,7 +104,7 @@
     def count(self, *, at: float) -> None:
         """Note one more."""
         self.at = at
-        self.pause = SEED_TIME if self.pause else SECOND_TRY_TIME
+        self.pause = RETRY_SECONDS if self.pause else SECOND_TRY_TIME
 
 
 class PeerDirectory:
--- a/dotterelpaddle/tests/peers/test_messages.py
+++ b/dotterelpaddle/tests/peers/test_messages.py
@@ -29,8 +29,8 @@
     PEER_EXPIRY_SECONDS,
     PEER_TIMEOUT_SECONDS,
     RECENT_REPORT_SECONDS,
+    RETRY_SECONDS,
     SECOND_TRY_TIME,
-    SEED_TIME,
     PeerDirectory,
 )
 from dotterelpaddle.peers.messages import (
@@ -244,7 +244,7 @@
 
     first = world.directory.quiet_targets()
     at_once = world.directory.quiet_targets()
-    world.now = SEED_TIME
+    world.now = RETRY_SECONDS
     later = world.directory.quiet_targets()
 
     assert first == [OTHER]
