--- a/dotterelpaddle/peers/directory.py
+++ b/dotterelpaddle/peers/directory.py
@@ -35,7 +35,7 @@
 RETRY_SECONDS = 1.0
 """Seconds between reports to addresses that do not answer."""
 
-SECOND_TRY_TIME = 0.3
+FIRST_RETRY_SECONDS = 0.3
 """Seconds until the second report to such an address: hosts that are started together
 are so within this time, and the first report may have come before its recipient."""
 
@@ -104,7 +104,7 @@
     def count(self, *, at: float) -> None:
         """Note one more."""
         self.at = at
-        self.pause = RETRY_SECONDS if self.pause else SECOND_TRY_TIME
+        self.pause = RETRY_SECONDS if self.pause else FIRST_RETRY_SECONDS
 
 
 class PeerDirectory:
--- a/dotterelpaddle/tests/peers/test_messages.py
+++ b/dotterelpaddle/tests/peers/test_messages.py
@@ -26,11 +26,11 @@
     ServiceName,
 )
 from dotterelpaddle.peers.directory import (
+    FIRST_RETRY_SECONDS,
     PEER_EXPIRY_SECONDS,
     PEER_TIMEOUT_SECONDS,
     RECENT_REPORT_SECONDS,
     RETRY_SECONDS,
-    SECOND_TRY_TIME,
     PeerDirectory,
 )
 from dotterelpaddle.peers.messages import (
@@ -256,7 +256,12 @@
     """It may belong to a host that was started a moment later."""
     world = _World()
     tried = []
-    for now in (0.0, SECOND_TRY_TIME, 2 * SECOND_TRY_TIME, 3 * SECOND_TRY_TIME):
+    for now in (
+        0.0,
+        FIRST_RETRY_SECONDS,
+        2 * FIRST_RETRY_SECONDS,
+        3 * FIRST_RETRY_SECONDS,
+    ):
         world.now = now
         tried.append(bool(world.directory.quiet_targets()))
 
