--- a/dotterelpaddle/peers/directory.py
+++ b/dotterelpaddle/peers/directory.py
@@ -39,7 +39,7 @@
 """Seconds until the second report to such an address: hosts that are started together
 are so within this time, and the first report may have come before its recipient."""
 
-OWNER_TIME = 2.0
+OWNER_EXPIRY_SECONDS = 2.0
 """Seconds that a router is believed to own the shards of a failure domain without
 being named again, ten reports: aggregators may change meanwhile."""
 
@@ -198,7 +198,7 @@
 
         Its aggregators name it; nobody does in a small fleet.
         """
-        oldest = self._clock() - OWNER_TIME
+        oldest = self._clock() - OWNER_EXPIRY_SECONDS
         return {
             domain: named.name
             for domain, named in self._owners.items()
