--- a/dotterelpaddle/peers/directory.py
+++ b/dotterelpaddle/peers/directory.py
@@ -43,7 +43,7 @@
 """Seconds that a router is believed to own the shards of a failure domain without
 being named again, ten reports: aggregators may change meanwhile."""
 
-LATE_SHARE = 0.5
+LATE_OWNER_QUORUM = 0.5
 """Share of the routers of a failure domain above which an owner that they find silent
 is late for all: lost packets make it look silent to a few, a busy host to most."""
 
@@ -236,7 +236,7 @@
             return
         router = owner.name.router
         finding = sum(router in peer.report.silent_owners for peer in near)
-        if router not in self._late and finding > LATE_SHARE * len(near):
+        if router not in self._late and finding > LATE_OWNER_QUORUM * len(near):
             self._late[router] = now
             log.warning(
                 "owner_late", router=router, found_by=finding, routers=len(near)
