--- a/dotterelpaddle/peers/directory.py
+++ b/dotterelpaddle/peers/directory.py
@@ -47,7 +47,7 @@
 """Share of the routers of a failure domain above which an owner that they find silent
 is late for all: lost packets make it look silent to a few, a busy host to most."""
 
-LATE_MEMORY = 30.0
+LATE_OWNER_COOLDOWN_SECONDS = 30.0
 """Seconds for which an owner that was late for all is not named again. Nobody asks it
 meanwhile, so that nobody can tell whether its host is still busy."""
 
@@ -229,7 +229,9 @@
         """Note the owner as late if most routers of its failure domain find it so."""
         now = self._clock()
         self._late = {
-            router: at for router, at in self._late.items() if now - at <= LATE_MEMORY
+            router: at
+            for router, at in self._late.items()
+            if now - at <= LATE_OWNER_COOLDOWN_SECONDS
         }
         owner = self._owners.get(self._own.failure_domain)
         if owner is None:
--- a/dotterelpaddle/tests/peers/test_plan.py
+++ b/dotterelpaddle/tests/peers/test_plan.py
@@ -8,7 +8,10 @@
 import pytest
 
 from dotterelpaddle.ids import EndpointId, FailureDomain
-from dotterelpaddle.peers.directory import LATE_MEMORY, PEER_TIMEOUT_SECONDS
+from dotterelpaddle.peers.directory import (
+    LATE_OWNER_COOLDOWN_SECONDS,
+    PEER_TIMEOUT_SECONDS,
+)
 from dotterelpaddle.peers.plan import MOST_IN_MESH
 from dotterelpaddle.tests.peers.fleet import Fleet
 
@@ -195,7 +198,9 @@
         if node.name.failure_domain == name.failure_domain and node.name != name
     ]
     for node in near[::every]:
-        node.exchange._owners._silent_until[name.router] = fleet.now + LATE_MEMORY
+        node.exchange._owners._silent_until[name.router] = (
+            fleet.now + LATE_OWNER_COOLDOWN_SECONDS
+        )
 
 
 async def test_owner_that_answers_late_is_replaced_and_not_named_again_soon() -> None:
@@ -207,7 +212,7 @@
 
     await fleet.run(HANDOVER_TIME)
 
-    for seconds in (0.0, LATE_MEMORY - 2.0):
+    for seconds in (0.0, LATE_OWNER_COOLDOWN_SECONDS - 2.0):
         await fleet.run(seconds)
         after = {node.directory.owners()[DOMAINS[0]].router for node in fleet.nodes}
         assert len(after) == 1
