--- a/dotterelpaddle/peers/directory.py
+++ b/dotterelpaddle/peers/directory.py
@@ -51,7 +51,7 @@
 """Seconds for which an owner that was late for all is not named again. Nobody asks it
 meanwhile, so that nobody can tell whether its host is still busy."""
 
-MOST_DIGESTS = 4096
+MAX_CACHED_DIGESTS = 4096
 """Routers whose names' hashes are kept, 0.3 MB."""
 
 AGGREGATORS = 2
@@ -372,7 +372,7 @@
     return -name.link, _digest(name.router), name.router
 
 
-@lru_cache(maxsize=MOST_DIGESTS)
+@lru_cache(maxsize=MAX_CACHED_DIGESTS)
 def _digest(router: RouterId) -> int:
     """Hash a name; each router is ranked many times a second."""
     return digest(text=router)
