--- a/dotterelpaddle/peers/directory.py
+++ b/dotterelpaddle/peers/directory.py
@@ -54,7 +54,7 @@
 MAX_CACHED_DIGESTS = 4096
 """Routers whose names' hashes are kept, 0.3 MB."""
 
-AGGREGATORS = 2
+AGGREGATORS_PER_DOMAIN = 2
 """Routers of a failure domain that aggregate for the others of it; while one of them
 has just ended, the other one goes on."""
 
@@ -191,7 +191,7 @@
             names.append(self._own)
         answering = [name for name in names if not self._is_silent(name.router)]
         staying = [name for name in answering if not self._is_leaving(name.router)]
-        return tuple(sorted(staying or answering, key=_rank)[:AGGREGATORS])
+        return tuple(sorted(staying or answering, key=_rank)[:AGGREGATORS_PER_DOMAIN])
 
     def owners(self) -> dict[FailureDomain, PeerName]:
         """Which router counts what is in flight in each failure domain.
