--- a/dotterelpaddle/peers/directory.py
+++ b/dotterelpaddle/peers/directory.py
@@ -64,13 +64,13 @@
     """Another router.
 
     Attributes:
-        name: How to reach it.
+        info: How to reach it.
         report: Its last report.
         heard_at: When that came, seconds on the monotonic clock.
         alive: Whether it was heard of lately.
     """
 
-    name: PeerName
+    info: PeerName
     report: PeerReport
     heard_at: float
     alive: bool = True
@@ -78,7 +78,7 @@
     @property
     def address(self) -> Address:
         """Where it exchanges reports."""
-        return self.name.address
+        return self.info.address
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
@@ -215,12 +215,12 @@
         """
         domain = self._own.failure_domain
         aggregators = self.aggregators(failure_domain=domain)
-        near = [peer for peer in self.alive if peer.name.failure_domain == domain]
+        near = [peer for peer in self.alive if peer.info.failure_domain == domain]
         self._note_late_owner(near=near)
         members = [
-            peer.name
+            peer.info
             for peer in near
-            if peer.name not in aggregators and not peer.report.leaving
+            if peer.info not in aggregators and not peer.report.leaving
         ]
         in_time = [name for name in members if name.router not in self._late]
         self._note_owner(min(in_time or members, key=_rank, default=aggregators[0]))
@@ -271,7 +271,7 @@
                 incarnation=report.incarnation,
             )
         self._peers[report.router] = Peer(
-            name=_name_of(report=report, address=address, known=known),
+            info=_name_of(report=report, address=address, known=known),
             report=report,
             heard_at=now,
         )
@@ -342,13 +342,13 @@
     def _all(self) -> list[PeerName]:
         """All other routers that are known of."""
         named = {router: each.name for router, each in self._named.items()}
-        heard = {router: peer.name for router, peer in self._peers.items()}
+        heard = {router: peer.info for router, peer in self._peers.items()}
         return list({**named, **heard}.values())
 
     def _name(self, router: RouterId) -> PeerName:
         peer = self._peers.get(router)
         if peer is not None:
-            return peer.name
+            return peer.info
         named = self._named.get(router)
         return named.name if named is not None else self._own
 
@@ -386,7 +386,7 @@
         address=address,
         link=report.link,
     )
-    return known.name if known is not None and known.name == name else name
+    return known.info if known is not None and known.info == name else name
 
 
 def _is_repeated(*, known: PeerReport, report: PeerReport) -> bool:
--- a/dotterelpaddle/peers/exchange.py
+++ b/dotterelpaddle/peers/exchange.py
@@ -211,7 +211,7 @@
             ),
             routers=self._plan.routers,
             domains=tuple(
-                {peer.name.failure_domain for peer in self._directory.just_heard()}
+                {peer.info.failure_domain for peer in self._directory.just_heard()}
             ),
             parts=self._caches.part_count if self._caches.is_populated else 0,
             peers=names,
@@ -243,7 +243,7 @@
     def _names(self) -> tuple[PeerName, ...]:
         """Name routers that are heard: the first of all ranks, and others in turn."""
         alive = sorted(
-            (peer.name for peer in self._directory.alive),
+            (peer.info for peer in self._directory.alive),
             key=lambda name: self._directory.rank(router=name.router),
         )
         first, rest = alive[:FIRST_TOLD], alive[FIRST_TOLD:]
