--- a/dotterelpaddle/peers/directory.py
+++ b/dotterelpaddle/peers/directory.py
@@ -66,13 +66,13 @@
     Attributes:
         info: How to reach it.
         report: Its last report.
-        heard_at: When that came, seconds on the monotonic clock.
+        received_at: When that came, seconds on the monotonic clock.
         alive: Whether it was heard of lately.
     """
 
     info: PeerName
     report: PeerReport
-    heard_at: float
+    received_at: float
     alive: bool = True
 
     @property
@@ -157,7 +157,7 @@
     def just_heard(self) -> tuple[Peer, ...]:
         """Routers of which a report has just come."""
         oldest = self._clock() - RECENT_REPORT_SECONDS
-        return tuple(peer for peer in self._peers.values() if peer.heard_at > oldest)
+        return tuple(peer for peer in self._peers.values() if peer.received_at > oldest)
 
     def heard_domains(self) -> dict[FailureDomain, bool]:
         """Tell by failure domain whether any router of it has just been heard.
@@ -273,7 +273,7 @@
         self._peers[report.router] = Peer(
             info=_name_of(report=report, address=address, known=known),
             report=report,
-            heard_at=now,
+            received_at=now,
         )
         for name in report.peers:
             if name.router != self._own.router:
@@ -304,7 +304,7 @@
         """Note who has fallen silent, and forget those that long have."""
         now = self._clock()
         for router, peer in tuple(self._peers.items()):
-            silent = now - peer.heard_at
+            silent = now - peer.received_at
             if peer.alive and silent > PEER_TIMEOUT_SECONDS:
                 peer.alive = False
                 log.warning("peer_lost", router=router, silent_for=round(silent, 3))
@@ -364,7 +364,7 @@
         if asked_at is None:
             return False
         peer = self._peers.get(router)
-        heard_at = peer.heard_at if peer is not None else asked_at
+        heard_at = peer.received_at if peer is not None else asked_at
         return self._clock() - max(asked_at, heard_at) > PEER_TIMEOUT_SECONDS
 
 
--- a/dotterelpaddle/peers/word.py
+++ b/dotterelpaddle/peers/word.py
@@ -130,5 +130,5 @@
     def _youngest(self, told: Iterable[tuple[Peer, float]]) -> float:
         """Return the least of ages that were told some time ago."""
         now = self._clock()
-        ages = (age + now - peer.heard_at for peer, age in told)
+        ages = (age + now - peer.received_at for peer, age in told)
         return min(ages, default=float("inf"))
