--- a/dotterelpaddle/peers/directory.py
+++ b/dotterelpaddle/peers/directory.py
@@ -85,7 +85,7 @@
 class _Named:
     """A router that another one named."""
 
-    name: PeerName
+    info: PeerName
     at: float
 
 
@@ -200,7 +200,7 @@
         """
         oldest = self._clock() - OWNER_EXPIRY_SECONDS
         return {
-            domain: named.name
+            domain: named.info
             for domain, named in self._owners.items()
             if named.at >= oldest
         }
@@ -236,7 +236,7 @@
         owner = self._owners.get(self._own.failure_domain)
         if owner is None:
             return
-        router = owner.name.router
+        router = owner.info.router
         finding = sum(router in peer.report.silent_owners for peer in near)
         if router not in self._late and finding > LATE_OWNER_QUORUM * len(near):
             self._late[router] = now
@@ -277,7 +277,7 @@
         )
         for name in report.peers:
             if name.router != self._own.router:
-                self._named[name.router] = _Named(name=name, at=now)
+                self._named[name.router] = _Named(info=name, at=now)
         for name in report.owners:
             self._note_owner(name)
         return True
@@ -320,14 +320,14 @@
 
     def _note_owner(self, name: PeerName) -> None:
         known = self._owners.get(name.failure_domain)
-        if known is None or known.name != name:
+        if known is None or known.info != name:
             log.info(
                 "owner_named",
                 failure_domain=name.failure_domain,
                 router=name.router,
-                before=known.name.router if known is not None else "",
+                before=known.info.router if known is not None else "",
             )
-        self._owners[name.failure_domain] = _Named(name=name, at=self._clock())
+        self._owners[name.failure_domain] = _Named(info=name, at=self._clock())
 
     def _due(self, addresses: Iterable[Address]) -> list[Address]:
         due = [address for address in sorted(addresses) if self._is_due(address)]
@@ -341,7 +341,7 @@
 
     def _all(self) -> list[PeerName]:
         """All other routers that are known of."""
-        named = {router: each.name for router, each in self._named.items()}
+        named = {router: each.info for router, each in self._named.items()}
         heard = {router: peer.info for router, peer in self._peers.items()}
         return list({**named, **heard}.values())
 
@@ -350,7 +350,7 @@
         if peer is not None:
             return peer.info
         named = self._named.get(router)
-        return named.name if named is not None else self._own
+        return named.info if named is not None else self._own
 
     def _is_leaving(self, router: RouterId) -> bool:
         if router == self._own.router:
