--- a/dotterelpaddle/peers/directory.py
+++ b/dotterelpaddle/peers/directory.py
@@ -86,7 +86,7 @@
     """A router that another one named."""
 
     info: PeerName
-    at: float
+    named_at: float
 
 
 @dataclass(kw_only=True, slots=True)
@@ -202,7 +202,7 @@
         return {
             domain: named.info
             for domain, named in self._owners.items()
-            if named.at >= oldest
+            if named.named_at >= oldest
         }
 
     def name_owner(self) -> None:
@@ -277,7 +277,7 @@
         )
         for name in report.peers:
             if name.router != self._own.router:
-                self._named[name.router] = _Named(info=name, at=now)
+                self._named[name.router] = _Named(info=name, named_at=now)
         for name in report.owners:
             self._note_owner(name)
         return True
@@ -313,7 +313,7 @@
                 self._named.pop(router, None)
                 self._tries.pop(peer.address, None)
         for router, named in tuple(self._named.items()):
-            if now - named.at > PEER_EXPIRY_SECONDS:
+            if now - named.named_at > PEER_EXPIRY_SECONDS:
                 del self._named[router]
         for router in self._asked.keys() - self._peers.keys() - self._named.keys():
             del self._asked[router]
@@ -327,7 +327,7 @@
                 router=name.router,
                 before=known.info.router if known is not None else "",
             )
-        self._owners[name.failure_domain] = _Named(info=name, at=self._clock())
+        self._owners[name.failure_domain] = _Named(info=name, named_at=self._clock())
 
     def _due(self, addresses: Iterable[Address]) -> list[Address]:
         due = [address for address in sorted(addresses) if self._is_due(address)]
