--- a/dotterelpaddle/peers/directory.py
+++ b/dotterelpaddle/peers/directory.py
@@ -95,16 +95,16 @@
 
     Attributes:
         sent_at: When the last one went out, seconds on the monotonic clock.
-        pause: Seconds until the next one.
+        backoff: Seconds until the next one.
     """
 
     sent_at: float = 0.0
-    pause: float = 0.0
+    backoff: float = 0.0
 
     def count(self, *, at: float) -> None:
         """Note one more."""
         self.sent_at = at
-        self.pause = RETRY_SECONDS if self.pause else FIRST_RETRY_SECONDS
+        self.backoff = RETRY_SECONDS if self.backoff else FIRST_RETRY_SECONDS
 
 
 class PeerDirectory:
@@ -337,7 +337,7 @@
 
     def _is_due(self, address: Address) -> bool:
         tries = self._tries.get(address)
-        return tries is None or self._clock() - tries.sent_at >= tries.pause
+        return tries is None or self._clock() - tries.sent_at >= tries.backoff
 
     def _all(self) -> list[PeerName]:
         """All other routers that are known of."""
