--- a/dotterelpaddle/peers/directory.py
+++ b/dotterelpaddle/peers/directory.py
@@ -101,7 +101,7 @@
     sent_at: float = 0.0
     backoff: float = 0.0
 
-    def count(self, *, at: float) -> None:
+    def record(self, *, at: float) -> None:
         """Note one more."""
         self.sent_at = at
         self.backoff = RETRY_SECONDS if self.backoff else FIRST_RETRY_SECONDS
@@ -332,7 +332,7 @@
     def _due(self, addresses: Iterable[Address]) -> list[Address]:
         due = [address for address in sorted(addresses) if self._is_due(address)]
         for address in due:
-            self._tries.setdefault(address, _Tries()).count(at=self._clock())
+            self._tries.setdefault(address, _Tries()).record(at=self._clock())
         return due
 
     def _is_due(self, address: Address) -> bool:
