--- a/dotterelpaddle/forwarding/parts.py
+++ b/dotterelpaddle/forwarding/parts.py
@@ -369,7 +369,7 @@
             router=settings.router,
             bounds=settings.cold_bounds,
             view=view,
-            routers=lambda: max(directory.count, shares.router_count),
+            routers=lambda: max(directory.router_count, shares.router_count),
             clock=clock,
         ),
         caches=caches,
@@ -377,7 +377,7 @@
         retry_budget=RetryBudget(
             limits=settings.retry_limits,
             shares=shares,
-            routers=lambda: directory.count,
+            routers=lambda: directory.router_count,
             clock=clock,
         ),
         directory=directory,
--- a/dotterelpaddle/peers/directory.py
+++ b/dotterelpaddle/peers/directory.py
@@ -146,7 +146,7 @@
         return tuple(peer for peer in self._peers.values() if peer.alive)
 
     @property
-    def count(self) -> int:
+    def router_count(self) -> int:
         """Routers known of within the last half minute, this one included."""
         return 1 + len(self._peers.keys() | self._named.keys())
 
--- a/dotterelpaddle/peers/plan.py
+++ b/dotterelpaddle/peers/plan.py
@@ -56,7 +56,7 @@
     @property
     def routers(self) -> int:
         """Routers that this one knows of, itself included."""
-        return max(self._directory.count, self._shares.router_count)
+        return max(self._directory.router_count, self._shares.router_count)
 
     @property
     def in_mesh(self) -> bool:
--- a/dotterelpaddle/tests/peers/test_messages.py
+++ b/dotterelpaddle/tests/peers/test_messages.py
@@ -281,7 +281,7 @@
     world.now = PEER_EXPIRY_SECONDS + 1
     world.directory.look()
 
-    assert world.directory.count == 1
+    assert world.directory.router_count == 1
     assert set(world.directory.quiet_targets()) <= {OTHER}
 
 
