--- a/dotterelpaddle/peers/directory.py
+++ b/dotterelpaddle/peers/directory.py
@@ -154,7 +154,7 @@
         """Let others take over what this router does for them, while it still does."""
         self._leaving = True
 
-    def just_heard(self) -> tuple[Peer, ...]:
+    def recently_active(self) -> tuple[Peer, ...]:
         """Routers of which a report has just come."""
         oldest = self._clock() - RECENT_REPORT_SECONDS
         return tuple(peer for peer in self._peers.values() if peer.received_at > oldest)
@@ -165,7 +165,7 @@
         The aggregators of this router say which other domains they hear.
         """
         heard: set[FailureDomain] = set()
-        for peer in self.just_heard():
+        for peer in self.recently_active():
             heard.add(peer.report.failure_domain)
             if peer.report.share.scope is TotalsScope.OTHERS:
                 heard.update(peer.report.domains)
--- a/dotterelpaddle/peers/exchange.py
+++ b/dotterelpaddle/peers/exchange.py
@@ -211,7 +211,7 @@
             ),
             routers=self._plan.routers,
             domains=tuple(
-                {peer.info.failure_domain for peer in self._directory.just_heard()}
+                {peer.info.failure_domain for peer in self._directory.recently_active()}
             ),
             parts=self._caches.part_count if self._caches.is_populated else 0,
             peers=names,
