--- a/dotterelpaddle/forwarding/parts.py
+++ b/dotterelpaddle/forwarding/parts.py
@@ -207,7 +207,7 @@
         view=knowledge.view,
         reachability=reachability,
         failure_domain=settings.failure_domain,
-        routers=directory.heard_domains,
+        routers=directory.reachable_domains,
         clock=clock,
     )
     placer = ForwardPlacer(
--- a/dotterelpaddle/peers/directory.py
+++ b/dotterelpaddle/peers/directory.py
@@ -159,7 +159,7 @@
         oldest = self._clock() - RECENT_REPORT_SECONDS
         return tuple(peer for peer in self._peers.values() if peer.received_at > oldest)
 
-    def heard_domains(self) -> dict[FailureDomain, bool]:
+    def reachable_domains(self) -> dict[FailureDomain, bool]:
         """Tell by failure domain whether any router of it has just been heard.
 
         The aggregators of this router say which other domains they hear.
--- a/dotterelpaddle/peers/plan.py
+++ b/dotterelpaddle/peers/plan.py
@@ -120,7 +120,7 @@
     def _other_domains(self) -> list[Recipient]:
         """The aggregators of the other failure domains."""
         directory = self._directory
-        domains = directory.heard_domains().keys() - {directory.own.failure_domain}
+        domains = directory.reachable_domains().keys() - {directory.own.failure_domain}
         return [
             Recipient(
                 address=name.address, router=name.router, scope=TotalsScope.DOMAIN
--- a/dotterelpaddle/tests/peers/test_messages.py
+++ b/dotterelpaddle/tests/peers/test_messages.py
@@ -236,7 +236,7 @@
     )
     world.directory.hear(report=later, address=Address(host="two", port=1))
 
-    assert world.directory.heard_domains() == {"near": True, "far": False}
+    assert world.directory.reachable_domains() == {"near": True, "far": False}
 
 
 def test_addresses_that_do_not_answer_are_tried_once_a_second() -> None:
--- a/dotterelpaddle/tests/peers/test_plan.py
+++ b/dotterelpaddle/tests/peers/test_plan.py
@@ -120,14 +120,14 @@
     fleet = _fleet(routers=30)
     await fleet.run(START_TIME)
     near = [n for n in fleet.nodes if n.name.failure_domain != "c"]
-    before = [node.directory.heard_domains() for node in near]
+    before = [node.directory.reachable_domains() for node in near]
 
     fleet.cut = {FailureDomain("c")}
     await fleet.run(2.0)
 
     assert all(all(heard.values()) for heard in before)
     for node in near:
-        heard = node.directory.heard_domains()
+        heard = node.directory.reachable_domains()
         assert heard == dict(zip(DOMAINS, (True, True, False), strict=True))
 
 
@@ -320,4 +320,4 @@
     assert {node.load(A) for node in fleet.nodes} == {held}
     assert sum(node.word.is_platform_reader for node in fleet.nodes) == 1
     for node in fleet.nodes:
-        assert all(node.directory.heard_domains().values())
+        assert all(node.directory.reachable_domains().values())
