--- a/dotterelpaddle/peers/directory.py
+++ b/dotterelpaddle/peers/directory.py
@@ -205,7 +205,7 @@
             if named.named_at >= oldest
         }
 
-    def name_owner(self) -> None:
+    def elect_owner(self) -> None:
         """Name the owner of the own failure domain, for those that aggregate in it.
 
         It is the first of the routers that don't aggregate: both aggregators hear all
--- a/dotterelpaddle/peers/plan.py
+++ b/dotterelpaddle/peers/plan.py
@@ -94,7 +94,7 @@
         if self._shares.is_aggregator:
             recipients += self._other_domains()
         if own in aggregators:
-            directory.name_owner()
+            directory.elect_owner()
         directory.ask(
             routers=frozenset(
                 each.router
