--- a/dotterelpaddle/peers/directory.py
+++ b/dotterelpaddle/peers/directory.py
@@ -244,7 +244,7 @@
                 "owner_late", router=router, found_by=finding, routers=len(near)
             )
 
-    def ask(self, *, routers: frozenset[RouterId]) -> None:
+    def expect_reports(self, *, routers: frozenset[RouterId]) -> None:
         """Note which routers are expected to report from now on."""
         now = self._clock()
         for router in tuple(self._asked):
--- a/dotterelpaddle/peers/plan.py
+++ b/dotterelpaddle/peers/plan.py
@@ -95,7 +95,7 @@
             recipients += self._other_domains()
         if own in aggregators:
             directory.elect_owner()
-        directory.ask(
+        directory.expect_reports(
             routers=frozenset(
                 each.router
                 for each in recipients
