--- a/dotterelpaddle/peers/directory.py
+++ b/dotterelpaddle/peers/directory.py
@@ -253,7 +253,7 @@
         for router in routers:
             self._asked.setdefault(router, now)
 
-    def hear(self, *, report: PeerReport, address: Address) -> bool:
+    def receive(self, *, report: PeerReport, address: Address) -> bool:
         """Take in a report.
 
         Returns:
--- a/dotterelpaddle/peers/exchange.py
+++ b/dotterelpaddle/peers/exchange.py
@@ -291,7 +291,7 @@
         if report.router == self._own.router:
             return False
         known = self._directory.knows(report=report)
-        if not self._directory.hear(report=report, address=address):
+        if not self._directory.receive(report=report, address=address):
             return False
         self._shares.receive(
             router=report.router,
--- a/dotterelpaddle/tests/peers/test_messages.py
+++ b/dotterelpaddle/tests/peers/test_messages.py
@@ -196,21 +196,21 @@
 def test_older_report_of_the_same_process_is_no_news() -> None:
     world = _World()
 
-    assert world.directory.hear(report=_report(sequence=5), address=OTHER)
-    assert not world.directory.hear(report=_report(sequence=4), address=OTHER)
-    assert not world.directory.hear(report=_report(sequence=5), address=OTHER)
-    assert world.directory.hear(
+    assert world.directory.receive(report=_report(sequence=5), address=OTHER)
+    assert not world.directory.receive(report=_report(sequence=4), address=OTHER)
+    assert not world.directory.receive(report=_report(sequence=5), address=OTHER)
+    assert world.directory.receive(
         report=_report(sequence=1, incarnation=8), address=OTHER
     )
 
 
 def test_silent_router_is_lost_and_found_again() -> None:
     world = _World()
-    world.directory.hear(report=_report(), address=OTHER)
+    world.directory.receive(report=_report(), address=OTHER)
     world.now = PEER_TIMEOUT_SECONDS + 0.1
     world.directory.look()
     lost = world.directory.alive
-    world.directory.hear(report=_report(sequence=2), address=OTHER)
+    world.directory.receive(report=_report(sequence=2), address=OTHER)
 
     assert lost == ()
     assert len(world.directory.alive) == 1
@@ -225,7 +225,7 @@
             share=RequestTotals(),
             peers=(),
         )
-        world.directory.hear(report=report, address=Address(host=name, port=1))
+        world.directory.receive(report=report, address=Address(host=name, port=1))
     world.now = RECENT_REPORT_SECONDS + 0.1
     later = _report(
         sequence=2,
@@ -234,7 +234,7 @@
         share=RequestTotals(),
         peers=(),
     )
-    world.directory.hear(report=later, address=Address(host="two", port=1))
+    world.directory.receive(report=later, address=Address(host="two", port=1))
 
     assert world.directory.reachable_domains() == {"near": True, "far": False}
 
@@ -270,14 +270,14 @@
 
 def test_routers_that_others_name_are_tried() -> None:
     world = _World()
-    world.directory.hear(report=_report(), address=OTHER)
+    world.directory.receive(report=_report(), address=OTHER)
 
     assert world.directory.quiet_targets() == [THIRD]
 
 
 def test_router_that_is_long_silent_is_forgotten() -> None:
     world = _World()
-    world.directory.hear(report=_report(peers=()), address=THIRD)
+    world.directory.receive(report=_report(peers=()), address=THIRD)
     world.now = PEER_EXPIRY_SECONDS + 1
     world.directory.look()
 
--- a/dotterelpaddle/tests/peers/test_word.py
+++ b/dotterelpaddle/tests/peers/test_word.py
@@ -81,7 +81,7 @@
             platform_lost=cut_off,
             evacuated=evacuated,
         )
-        self.directory.hear(report=report, address=Address(host=router, port=1))
+        self.directory.receive(report=report, address=Address(host=router, port=1))
 
 
 def test_lone_router_reads_for_itself() -> None:
