--- a/dotterelpaddle/peers/directory.py
+++ b/dotterelpaddle/peers/directory.py
@@ -282,7 +282,7 @@
             self._note_owner(name)
         return True
 
-    def knows(self, *, report: PeerReport) -> bool:
+    def knows_process(self, *, report: PeerReport) -> bool:
         """Tell whether the process that sent a report was heard of before."""
         known = self._peers.get(report.router)
         return known is not None and known.report.incarnation == report.incarnation
--- a/dotterelpaddle/peers/exchange.py
+++ b/dotterelpaddle/peers/exchange.py
@@ -290,7 +290,7 @@
         """
         if report.router == self._own.router:
             return False
-        known = self._directory.knows(report=report)
+        known = self._directory.knows_process(report=report)
         if not self._directory.receive(report=report, address=address):
             return False
         self._shares.receive(
