--- a/dotterelpaddle/peers/directory.py
+++ b/dotterelpaddle/peers/directory.py
@@ -287,7 +287,7 @@
         known = self._peers.get(report.router)
         return known is not None and known.report.incarnation == report.incarnation
 
-    def quiet_targets(self) -> list[Address]:
+    def unreached_targets(self) -> list[Address]:
         """Addresses of routers that are not heard and are due for a report now."""
         quiet = {name.address for name in self._all()} | self._seeds
         return self._due(quiet - {peer.address for peer in self.alive})
--- a/dotterelpaddle/peers/plan.py
+++ b/dotterelpaddle/peers/plan.py
@@ -71,7 +71,7 @@
             self._shares.is_aggregator = True
             self._directory.look()
             heard = [Recipient(address=each.address) for each in self._directory.alive]
-            return heard + _asking_for_answers(self._directory.quiet_targets())
+            return heard + _asking_for_answers(self._directory.unreached_targets())
         return self._aggregated_recipients()
 
     def _aggregated_recipients(self) -> list[Recipient]:
--- a/dotterelpaddle/tests/peers/test_messages.py
+++ b/dotterelpaddle/tests/peers/test_messages.py
@@ -242,10 +242,10 @@
 def test_addresses_that_do_not_answer_are_tried_once_a_second() -> None:
     world = _World()
 
-    first = world.directory.quiet_targets()
-    at_once = world.directory.quiet_targets()
+    first = world.directory.unreached_targets()
+    at_once = world.directory.unreached_targets()
     world.now = RETRY_SECONDS
-    later = world.directory.quiet_targets()
+    later = world.directory.unreached_targets()
 
     assert first == [OTHER]
     assert at_once == []
@@ -263,7 +263,7 @@
         3 * FIRST_RETRY_SECONDS,
     ):
         world.now = now
-        tried.append(bool(world.directory.quiet_targets()))
+        tried.append(bool(world.directory.unreached_targets()))
 
     assert tried == [True, True, False, False]
 
@@ -272,7 +272,7 @@
     world = _World()
     world.directory.receive(report=_report(), address=OTHER)
 
-    assert world.directory.quiet_targets() == [THIRD]
+    assert world.directory.unreached_targets() == [THIRD]
 
 
 def test_router_that_is_long_silent_is_forgotten() -> None:
@@ -282,7 +282,7 @@
     world.directory.look()
 
     assert world.directory.router_count == 1
-    assert set(world.directory.quiet_targets()) <= {OTHER}
+    assert set(world.directory.unreached_targets()) <= {OTHER}
 
 
 def test_start_of_an_endpoint_is_told() -> None:
