--- a/dotterelpaddle/peers/directory.py
+++ b/dotterelpaddle/peers/directory.py
@@ -292,7 +292,7 @@
         quiet = {name.address for name in self._all()} | self._seeds
         return self._due(quiet - {peer.address for peer in self.alive})
 
-    def silent_targets(self) -> list[Address]:
+    def unresponsive_targets(self) -> list[Address]:
         """Addresses that do not answer and are due for a report now.
 
         Without any router that answers the seeds are tried.
--- a/dotterelpaddle/peers/plan.py
+++ b/dotterelpaddle/peers/plan.py
@@ -102,7 +102,7 @@
                 if each.router is not None and each.scope is not TotalsScope.OTHERS
             )
         )
-        return recipients + _asking_for_answers(directory.silent_targets())
+        return recipients + _asking_for_answers(directory.unresponsive_targets())
 
     def _members(self, *, without: set[RouterId | None]) -> list[Recipient]:
         """Routers of the own failure domain that asked to be told of all others."""
