--- a/dotterelpaddle/peers/directory.py
+++ b/dotterelpaddle/peers/directory.py
@@ -300,7 +300,7 @@
         silent = {name.address for name in self._all() if self._is_silent(name.router)}
         return self._due(silent if self.alive else silent | self._seeds)
 
-    def look(self) -> None:
+    def update_liveness(self) -> None:
         """Note who has fallen silent, and forget those that long have."""
         now = self._clock()
         for router, peer in tuple(self._peers.items()):
--- a/dotterelpaddle/peers/plan.py
+++ b/dotterelpaddle/peers/plan.py
@@ -69,14 +69,14 @@
         if self.in_mesh:
             self._shares.has_aggregators = False
             self._shares.is_aggregator = True
-            self._directory.look()
+            self._directory.update_liveness()
             heard = [Recipient(address=each.address) for each in self._directory.alive]
             return heard + _asking_for_answers(self._directory.unreached_targets())
         return self._aggregated_recipients()
 
     def _aggregated_recipients(self) -> list[Recipient]:
         directory = self._directory
-        directory.look()
+        directory.update_liveness()
         own = directory.own
         aggregators = directory.aggregators(failure_domain=own.failure_domain)
         self._shares.has_aggregators = True
--- a/dotterelpaddle/tests/peers/test_messages.py
+++ b/dotterelpaddle/tests/peers/test_messages.py
@@ -208,7 +208,7 @@
     world = _World()
     world.directory.receive(report=_report(), address=OTHER)
     world.now = PEER_TIMEOUT_SECONDS + 0.1
-    world.directory.look()
+    world.directory.update_liveness()
     lost = world.directory.alive
     world.directory.receive(report=_report(sequence=2), address=OTHER)
 
@@ -279,7 +279,7 @@
     world = _World()
     world.directory.receive(report=_report(peers=()), address=THIRD)
     world.now = PEER_EXPIRY_SECONDS + 1
-    world.directory.look()
+    world.directory.update_liveness()
 
     assert world.directory.router_count == 1
     assert set(world.directory.unreached_targets()) <= {OTHER}
--- a/dotterelpaddle/tests/peers/test_word.py
+++ b/dotterelpaddle/tests/peers/test_word.py
@@ -161,7 +161,7 @@
     world = World(view=_view(revision=3))
     world.hear("other", view=_view(revision=3))
     world.now = 2 * PEER_TIMEOUT_SECONDS
-    world.directory.look()
+    world.directory.update_liveness()
 
     assert world.word.endpoints_age == NEVER
     assert world.word.is_platform_reader
