--- a/dotterelpaddle/peers/exchange.py
+++ b/dotterelpaddle/peers/exchange.py
@@ -43,7 +43,7 @@
 
 log = get_logger(name=__name__)
 
-REPORT_PAUSE = 0.2
+REPORT_INTERVAL_SECONDS = 0.2
 """Seconds between reports: at a few requests a second for each router, loads
 are off by a handful of requests over all endpoints."""
 
@@ -139,7 +139,9 @@
         try:
             while True:
                 await self._report_to_all(datagrams, control)
-                await anyio.sleep(REPORT_PAUSE * self._generator.uniform(0.9, 1.1))
+                await anyio.sleep(
+                    REPORT_INTERVAL_SECONDS * self._generator.uniform(0.9, 1.1)
+                )
         finally:
             # What was seen since the last report would end with this router.
             with anyio.CancelScope(shield=True):
--- a/dotterelpaddle/tests/peers/fleet.py
+++ b/dotterelpaddle/tests/peers/fleet.py
@@ -11,7 +11,7 @@
 
 from dotterelpaddle.address import Address
 from dotterelpaddle.ids import EndpointId, FailureDomain, RouterId
-from dotterelpaddle.peers.exchange import REPORT_PAUSE
+from dotterelpaddle.peers.exchange import REPORT_INTERVAL_SECONDS
 from dotterelpaddle.peers.messages import PeerName, decode_report
 from dotterelpaddle.tests.owners.hosts import build_router
 
@@ -100,7 +100,7 @@
         """Let all report, again and again."""
         until = self.now + seconds
         while self.now < until:
-            self.now += REPORT_PAUSE
+            self.now += REPORT_INTERVAL_SECONDS
             for node in self.nodes:
                 if node.name.address not in self.down:
                     await node.exchange._report_to_all(self._socket(node), CONTROL)
