--- a/dotterelpaddle/peers/exchange.py
+++ b/dotterelpaddle/peers/exchange.py
@@ -47,7 +47,7 @@
 """Seconds between reports: at a few requests a second for each router, loads
 are off by a handful of requests over all endpoints."""
 
-PEERS_EVERY = 8
+PEER_LIST_INTERVAL_ROUNDS = 8
 """Rounds of reports of which one names the routers that its sender hears. With nine
 routers the names are half of a report, and new routers are rare."""
 
@@ -150,7 +150,10 @@
     async def _report_to_all(self, datagrams: DatagramSocket, control: Address) -> None:
         self._rounds += 1
         recipients = self._plan.recipients()
-        names_due = self._rounds <= PEERS_EVERY or self._rounds % PEERS_EVERY == 1
+        names_due = (
+            self._rounds <= PEER_LIST_INTERVAL_ROUNDS
+            or self._rounds % PEER_LIST_INTERVAL_ROUNDS == 1
+        )
         base = replace(
             self._report(control=control, names=self._names() if names_due else ()),
             crashes=tuple(self._crashes.take_due_notes()),
@@ -251,7 +254,7 @@
         first, rest = alive[:FIRST_TOLD], alive[FIRST_TOLD:]
         room = MOST_PEERS_TOLD - FIRST_TOLD
         if len(rest) > room:
-            turn = (self._rounds // PEERS_EVERY * room) % len(rest)
+            turn = (self._rounds // PEER_LIST_INTERVAL_ROUNDS * room) % len(rest)
             rest = (rest + rest)[turn : turn + room]
         return (*first, *rest)
 
