--- a/dotterelpaddle/peers/exchange.py
+++ b/dotterelpaddle/peers/exchange.py
@@ -51,7 +51,7 @@
 """Rounds of reports of which one names the routers that its sender hears. With nine
 routers the names are half of a report, and new routers are rare."""
 
-FIRST_TOLD = 4
+MAX_FIXED_PEERS = 4
 """Routers with the best ranks that are named each time; the others take turns."""
 
 TOLD_BY_SCOPE = {
@@ -251,8 +251,8 @@
             (peer.info for peer in self._directory.alive),
             key=lambda name: self._directory.rank(router=name.router),
         )
-        first, rest = alive[:FIRST_TOLD], alive[FIRST_TOLD:]
-        room = MOST_PEERS_TOLD - FIRST_TOLD
+        first, rest = alive[:MAX_FIXED_PEERS], alive[MAX_FIXED_PEERS:]
+        room = MOST_PEERS_TOLD - MAX_FIXED_PEERS
         if len(rest) > room:
             turn = (self._rounds // PEER_LIST_INTERVAL_ROUNDS * room) % len(rest)
             rest = (rest + rest)[turn : turn + room]
