--- a/dotterelpaddle/peers/exchange.py
+++ b/dotterelpaddle/peers/exchange.py
@@ -54,7 +54,7 @@
 MAX_FIXED_PEERS = 4
 """Routers with the best ranks that are named each time; the others take turns."""
 
-TOLD_BY_SCOPE = {
+ORIGINS_BY_SCOPE = {
     TotalsScope.ROUTER: (UseOrigin.LOCAL,),
     TotalsScope.DOMAIN: (UseOrigin.LOCAL, UseOrigin.SAME_DOMAIN),
     TotalsScope.OTHERS: (
@@ -188,7 +188,9 @@
             share=self._share(own=report.share, recipient=recipient),
             owners=self._owners_told(recipient=recipient),
             uses=tuple(
-                use for origin in TOLD_BY_SCOPE[recipient.scope] for use in uses[origin]
+                use
+                for origin in ORIGINS_BY_SCOPE[recipient.scope]
+                for use in uses[origin]
             ),
         )
 
