--- a/dotterelpaddle/peers/exchange.py
+++ b/dotterelpaddle/peers/exchange.py
@@ -66,7 +66,7 @@
 """Whose uses of parts go with a report: those that its recipient hears of nowhere
 else."""
 
-UNKNOWN = Revision(-1)
+UNKNOWN_REVISION = Revision(-1)
 """Revision of a router that knows no endpoints yet."""
 
 
@@ -207,7 +207,7 @@
             sequence=self._sequence,
             control=control,
             version=self._view.version,
-            revision=UNKNOWN if revision is None else revision,
+            revision=UNKNOWN_REVISION if revision is None else revision,
             configuration_age=min(follower.configuration_age, word.configuration_age),
             endpoints_age=min(follower.endpoints_age, word.endpoints_age),
             endpoints_tag=self._view.endpoints_tag,
