--- a/dotterelpaddle/peers/fetching.py
+++ b/dotterelpaddle/peers/fetching.py
@@ -32,7 +32,7 @@
 
 log = get_logger(name=__name__)
 
-FETCH_TIME = 0.8
+FETCH_TIMEOUT_SECONDS = 0.8
 """Seconds that another router gets to hand out what it knows."""
 
 FETCH_PAUSE = 0.25
@@ -187,7 +187,7 @@
             target=target.encode(),
         )
         try:
-            with anyio.fail_after(FETCH_TIME):
+            with anyio.fail_after(FETCH_TIMEOUT_SECONDS):
                 response = await self._pool.request("GET", url)
         except TimeoutError as error:
             raise ControlError("no answer in time", peer=str(control)) from error
