--- a/dotterelpaddle/peers/fetching.py
+++ b/dotterelpaddle/peers/fetching.py
@@ -35,7 +35,7 @@
 FETCH_TIMEOUT_SECONDS = 0.8
 """Seconds that another router gets to hand out what it knows."""
 
-FETCH_PAUSE = 0.25
+CHECK_INTERVAL_SECONDS = 0.25
 """Seconds between looks at whether another router knows more."""
 
 LOOKS_BEHIND = 2
@@ -101,7 +101,9 @@
         """Fetch what is lacking until cancelled."""
         async with self._pool:
             while True:
-                pause = FETCH_PAUSE if self._caches.is_populated else START_PAUSE
+                pause = (
+                    CHECK_INTERVAL_SECONDS if self._caches.is_populated else START_PAUSE
+                )
                 await anyio.sleep(pause * self._generator.uniform(0.8, 1.2))
                 peer = self._better_informed()
                 if peer is None:
