--- a/dotterelpaddle/peers/fetching.py
+++ b/dotterelpaddle/peers/fetching.py
@@ -38,7 +38,7 @@
 CHECK_INTERVAL_SECONDS = 0.25
 """Seconds between looks at whether another router knows more."""
 
-LOOKS_BEHIND = 2
+MIN_CHECKS_BEHIND = 2
 """Looks in a row at which another router must know later endpoints before they are
 fetched from it: a call to the platform, which comes first, takes 4 ms."""
 
@@ -133,7 +133,7 @@
         self._looks_behind = 0 if newest is None else self._looks_behind + 1
         # One that is told of all news by others does not call the platform.
         at_once = self._view.endpoints_revision is None or self._word.receives_endpoints
-        return newest if at_once or self._looks_behind >= LOOKS_BEHIND else None
+        return newest if at_once or self._looks_behind >= MIN_CHECKS_BEHIND else None
 
     @property
     def _lacks_uses(self) -> bool:
