--- a/dotterelpaddle/peers/fetching.py
+++ b/dotterelpaddle/peers/fetching.py
@@ -42,7 +42,7 @@
 """Looks in a row at which another router must know later endpoints before they are
 fetched from it: a call to the platform, which comes first, takes 4 ms."""
 
-START_PAUSE = 0.03
+START_CHECK_INTERVAL_SECONDS = 0.03
 """Seconds between looks while the places of parts are not known."""
 
 SNAPSHOT_PATH = "/snapshot"
@@ -102,7 +102,9 @@
         async with self._pool:
             while True:
                 pause = (
-                    CHECK_INTERVAL_SECONDS if self._caches.is_populated else START_PAUSE
+                    CHECK_INTERVAL_SECONDS
+                    if self._caches.is_populated
+                    else START_CHECK_INTERVAL_SECONDS
                 )
                 await anyio.sleep(pause * self._generator.uniform(0.8, 1.2))
                 peer = self._better_informed()
