--- a/dotterelpaddle/peers/messages.py
+++ b/dotterelpaddle/peers/messages.py
@@ -36,7 +36,7 @@
     from dotterelpaddle.forwarding.caches import Use
     from dotterelpaddle.forwarding.crashes import CrashNote
 
-FORMAT = 3
+FORMAT_VERSION = 3
 """Version of the format; reports of another one are dropped and counted."""
 
 STARTS = 19
@@ -160,7 +160,7 @@
     )
     return orjson.dumps(
         [
-            FORMAT,
+            FORMAT_VERSION,
             report.router,
             report.failure_domain,
             report.link,
@@ -232,7 +232,7 @@
     """
     try:
         fields = orjson.loads(datagram)
-        if fields[0] != FORMAT:
+        if fields[0] != FORMAT_VERSION:
             raise ControlError(f"a report of format {fields[0]!r}, not {FORMAT}")
         uses = fields[16]
         starts = _later_field(fields, STARTS, ())
