--- a/dotterelpaddle/peers/messages.py
+++ b/dotterelpaddle/peers/messages.py
@@ -39,7 +39,7 @@
 FORMAT_VERSION = 3
 """Version of the format; reports of another one are dropped and counted."""
 
-STARTS = 19
+INCARNATIONS_INDEX = 19
 """Place of endpoints' starts; earlier releases end before it and read no further."""
 
 READING = 20
@@ -235,7 +235,7 @@
         if fields[0] != FORMAT_VERSION:
             raise ControlError(f"a report of format {fields[0]!r}, not {FORMAT}")
         uses = fields[16]
-        starts = _later_field(fields, STARTS, ())
+        starts = _later_field(fields, INCARNATIONS_INDEX, ())
         reading = _later_field(fields, READING, {})
         endpoints = heard_endpoints(
             names=[*fields[12][2], *reading, *(name for _, name in uses)],
--- a/dotterelpaddle/tests/peers/test_messages.py
+++ b/dotterelpaddle/tests/peers/test_messages.py
@@ -35,8 +35,8 @@
 )
 from dotterelpaddle.peers.messages import (
     CRASHES,
+    INCARNATIONS_INDEX,
     MOST_PEERS_TOLD,
-    STARTS,
     PeerName,
     PeerReport,
     decode_report,
@@ -316,7 +316,7 @@
     known = EndpointId("a@1733000000123")
 
     decoded = decode_report(
-        datagram=orjson.dumps(fields[:STARTS]), start_of=lambda name: known
+        datagram=orjson.dumps(fields[:INCARNATIONS_INDEX]), start_of=lambda name: known
     )
 
     assert decoded.share.loads == {known: 2}
@@ -331,7 +331,7 @@
 
     assert fields[12][2] == {"a": 2}
     assert fields[16] == [[5, "a"]]
-    assert len(fields) > STARTS
+    assert len(fields) > INCARNATIONS_INDEX
 
 
 def test_report_tells_what_waits_to_be_read() -> None:
