--- a/dotterelpaddle/peers/messages.py
+++ b/dotterelpaddle/peers/messages.py
@@ -42,7 +42,7 @@
 INCARNATIONS_INDEX = 19
 """Place of endpoints' starts; earlier releases end before it and read no further."""
 
-READING = 20
+QUEUED_TOKENS_INDEX = 20
 """Place of what waits to be read at endpoints, which earlier releases lack as well."""
 
 OWNERS = 21
@@ -236,7 +236,7 @@
             raise ControlError(f"a report of format {fields[0]!r}, not {FORMAT}")
         uses = fields[16]
         starts = _later_field(fields, INCARNATIONS_INDEX, ())
-        reading = _later_field(fields, READING, {})
+        reading = _later_field(fields, QUEUED_TOKENS_INDEX, {})
         endpoints = heard_endpoints(
             names=[*fields[12][2], *reading, *(name for _, name in uses)],
             starts=starts,
