--- a/dotterelpaddle/peers/messages.py
+++ b/dotterelpaddle/peers/messages.py
@@ -45,7 +45,7 @@
 QUEUED_TOKENS_INDEX = 20
 """Place of what waits to be read at endpoints, which earlier releases lack as well."""
 
-OWNERS = 21
+OWNERS_INDEX = 21
 """Place of the owners of shards, which earlier releases lack as well."""
 
 LEAVING = 22
@@ -264,7 +264,9 @@
             uses=tuple((int(part), endpoints[name]) for part, name in uses),
             parts=int(fields[17]),
             peers=tuple(_peer(peer) for peer in fields[18]),
-            owners=tuple(_peer(owner) for owner in _later_field(fields, OWNERS, ())),
+            owners=tuple(
+                _peer(owner) for owner in _later_field(fields, OWNERS_INDEX, ())
+            ),
             leaving=bool(_later_field(fields, LEAVING, False)),
             crashes=decode_notes(fields=_later_field(fields, CRASHES, ())),
             leaving_endpoints=tuple(
