--- a/dotterelpaddle/peers/messages.py
+++ b/dotterelpaddle/peers/messages.py
@@ -48,7 +48,7 @@
 OWNERS_INDEX = 21
 """Place of the owners of shards, which earlier releases lack as well."""
 
-LEAVING = 22
+LEAVING_INDEX = 22
 """Place of whether the sender is stopping, which earlier releases lack as well."""
 
 CRASHES = 23
@@ -267,7 +267,7 @@
             owners=tuple(
                 _peer(owner) for owner in _later_field(fields, OWNERS_INDEX, ())
             ),
-            leaving=bool(_later_field(fields, LEAVING, False)),
+            leaving=bool(_later_field(fields, LEAVING_INDEX, False)),
             crashes=decode_notes(fields=_later_field(fields, CRASHES, ())),
             leaving_endpoints=tuple(
                 _leaving(note) for note in _later_field(fields, LEAVING_ENDPOINTS, ())
