--- a/dotterelpaddle/peers/messages.py
+++ b/dotterelpaddle/peers/messages.py
@@ -51,7 +51,7 @@
 LEAVING_INDEX = 22
 """Place of whether the sender is stopping, which earlier releases lack as well."""
 
-CRASHES = 23
+CRASHES_INDEX = 23
 """Place of requests under which endpoints ended, which earlier releases lack."""
 
 LEAVING_ENDPOINTS = 24
@@ -268,7 +268,7 @@
                 _peer(owner) for owner in _later_field(fields, OWNERS_INDEX, ())
             ),
             leaving=bool(_later_field(fields, LEAVING_INDEX, False)),
-            crashes=decode_notes(fields=_later_field(fields, CRASHES, ())),
+            crashes=decode_notes(fields=_later_field(fields, CRASHES_INDEX, ())),
             leaving_endpoints=tuple(
                 _leaving(note) for note in _later_field(fields, LEAVING_ENDPOINTS, ())
             ),
--- a/dotterelpaddle/tests/peers/test_messages.py
+++ b/dotterelpaddle/tests/peers/test_messages.py
@@ -34,7 +34,7 @@
     PeerDirectory,
 )
 from dotterelpaddle.peers.messages import (
-    CRASHES,
+    CRASHES_INDEX,
     INCARNATIONS_INDEX,
     MOST_PEERS_TOLD,
     PeerName,
@@ -128,7 +128,7 @@
 
 def test_notes_that_only_later_releases_know_are_passed_over() -> None:
     fields = orjson.loads(encode_report(report=_report()))
-    fields[CRASHES] = [["later", "f", None, 0, False, 1]]
+    fields[CRASHES_INDEX] = [["later", "f", None, 0, False, 1]]
 
     decoded = decode_report(datagram=orjson.dumps(fields))
 
@@ -138,7 +138,7 @@
 def test_report_of_an_earlier_release_tells_no_crashes() -> None:
     fields = orjson.loads(encode_report(report=_report()))
 
-    decoded = decode_report(datagram=orjson.dumps(fields[:CRASHES]))
+    decoded = decode_report(datagram=orjson.dumps(fields[:CRASHES_INDEX]))
 
     assert decoded.crashes == ()
     assert decoded.leaving_endpoints == ()
