--- a/dotterelpaddle/peers/messages.py
+++ b/dotterelpaddle/peers/messages.py
@@ -54,7 +54,7 @@
 CRASHES_INDEX = 23
 """Place of requests under which endpoints ended, which earlier releases lack."""
 
-LEAVING_ENDPOINTS = 24
+LEAVING_ENDPOINTS_INDEX = 24
 """Place of endpoints that said that they leave, which earlier releases lack."""
 
 SILENT_OWNERS = 25
@@ -270,7 +270,8 @@
             leaving=bool(_later_field(fields, LEAVING_INDEX, False)),
             crashes=decode_notes(fields=_later_field(fields, CRASHES_INDEX, ())),
             leaving_endpoints=tuple(
-                _leaving(note) for note in _later_field(fields, LEAVING_ENDPOINTS, ())
+                _leaving(note)
+                for note in _later_field(fields, LEAVING_ENDPOINTS_INDEX, ())
             ),
             silent_owners=tuple(
                 RouterId(str(router))
