--- a/dotterelpaddle/peers/messages.py
+++ b/dotterelpaddle/peers/messages.py
@@ -57,7 +57,7 @@
 LEAVING_ENDPOINTS_INDEX = 24
 """Place of endpoints that said that they leave, which earlier releases lack."""
 
-SILENT_OWNERS = 25
+SILENT_OWNERS_INDEX = 25
 """Place of owners that did not answer in time, which earlier releases lack."""
 
 PLATFORM_LOST = 26
@@ -275,7 +275,7 @@
             ),
             silent_owners=tuple(
                 RouterId(str(router))
-                for router in _later_field(fields, SILENT_OWNERS, ())
+                for router in _later_field(fields, SILENT_OWNERS_INDEX, ())
             ),
             platform_lost=bool(_later_field(fields, PLATFORM_LOST, False)),
             evacuated=_evacuated(_later_field(fields, EVACUATED, None)),
