--- a/dotterelpaddle/peers/messages.py
+++ b/dotterelpaddle/peers/messages.py
@@ -60,7 +60,7 @@
 SILENT_OWNERS_INDEX = 25
 """Place of owners that did not answer in time, which earlier releases lack."""
 
-PLATFORM_LOST = 26
+PLATFORM_LOST_INDEX = 26
 """Place of whether the sender reaches the platform, which earlier releases lack."""
 
 EVACUATED = 27
@@ -277,7 +277,7 @@
                 RouterId(str(router))
                 for router in _later_field(fields, SILENT_OWNERS_INDEX, ())
             ),
-            platform_lost=bool(_later_field(fields, PLATFORM_LOST, False)),
+            platform_lost=bool(_later_field(fields, PLATFORM_LOST_INDEX, False)),
             evacuated=_evacuated(_later_field(fields, EVACUATED, None)),
         )
     except (
