--- a/dotterelpaddle/peers/messages.py
+++ b/dotterelpaddle/peers/messages.py
@@ -63,7 +63,7 @@
 PLATFORM_LOST_INDEX = 26
 """Place of whether the sender reaches the platform, which earlier releases lack."""
 
-EVACUATED = 27
+EVACUATED_INDEX = 27
 """Place of evacuated failure domains, which earlier releases lack as well."""
 
 MOST_PEERS_TOLD = 16
@@ -278,7 +278,7 @@
                 for router in _later_field(fields, SILENT_OWNERS_INDEX, ())
             ),
             platform_lost=bool(_later_field(fields, PLATFORM_LOST_INDEX, False)),
-            evacuated=_evacuated(_later_field(fields, EVACUATED, None)),
+            evacuated=_evacuated(_later_field(fields, EVACUATED_INDEX, None)),
         )
     except (
         orjson.JSONDecodeError,
