--- a/dotterelpaddle/peers/exchange.py
+++ b/dotterelpaddle/peers/exchange.py
@@ -15,7 +15,7 @@
 from dotterelpaddle.logs import get_logger
 from dotterelpaddle.owners.messages import START
 from dotterelpaddle.peers.messages import (
-    MOST_PEERS_TOLD,
+    MAX_LISTED_PEERS,
     PeerReport,
     decode_report,
     encode_report,
@@ -254,7 +254,7 @@
             key=lambda name: self._directory.rank(router=name.router),
         )
         first, rest = alive[:MAX_FIXED_PEERS], alive[MAX_FIXED_PEERS:]
-        room = MOST_PEERS_TOLD - MAX_FIXED_PEERS
+        room = MAX_LISTED_PEERS - MAX_FIXED_PEERS
         if len(rest) > room:
             turn = (self._rounds // PEER_LIST_INTERVAL_ROUNDS * room) % len(rest)
             rest = (rest + rest)[turn : turn + room]
--- a/dotterelpaddle/peers/messages.py
+++ b/dotterelpaddle/peers/messages.py
@@ -66,7 +66,7 @@
 EVACUATED_INDEX = 27
 """Place of evacuated failure domains, which earlier releases lack as well."""
 
-MOST_PEERS_TOLD = 16
+MAX_LISTED_PEERS = 16
 """Routers named in one report, so that it stays in one packet."""
 
 
@@ -194,7 +194,7 @@
                 if (name := told.name(endpoint=endpoint)) is not None
             ],
             report.parts,
-            [_peer_fields(peer) for peer in report.peers[:MOST_PEERS_TOLD]],
+            [_peer_fields(peer) for peer in report.peers[:MAX_LISTED_PEERS]],
             told.wire,
             {
                 name: tokens
--- a/dotterelpaddle/tests/peers/test_messages.py
+++ b/dotterelpaddle/tests/peers/test_messages.py
@@ -36,7 +36,7 @@
 from dotterelpaddle.peers.messages import (
     CRASHES_INDEX,
     INCARNATIONS_INDEX,
-    MOST_PEERS_TOLD,
+    MAX_LISTED_PEERS,
     PeerName,
     PeerReport,
     decode_report,
@@ -158,7 +158,7 @@
 
     decoded = decode_report(datagram=encode_report(report=_report(peers=many)))
 
-    assert len(decoded.peers) == MOST_PEERS_TOLD
+    assert len(decoded.peers) == MAX_LISTED_PEERS
 
 
 @given(st.binary(max_size=64))
