--- a/dotterelpaddle/forwarding/parts.py
+++ b/dotterelpaddle/forwarding/parts.py
@@ -46,7 +46,7 @@
 from dotterelpaddle.peers.directory import PeerDirectory
 from dotterelpaddle.peers.exchange import PeerExchange
 from dotterelpaddle.peers.fetching import Fetcher
-from dotterelpaddle.peers.messages import PeerName
+from dotterelpaddle.peers.messages import PeerInfo
 from dotterelpaddle.peers.plan import ReportPlan
 from dotterelpaddle.peers.word import PeerSummary
 from dotterelpaddle.pipeline import compose
@@ -342,7 +342,7 @@
         # The whole fleet starts for the first time: no endpoint has cached anything.
         caches.mark_populated()
     directory = PeerDirectory(
-        own=PeerName(
+        own=PeerInfo(
             router=settings.router,
             failure_domain=settings.failure_domain,
             address=settings.peers,
--- a/dotterelpaddle/owners/asking.py
+++ b/dotterelpaddle/owners/asking.py
@@ -29,7 +29,7 @@
     from dotterelpaddle.owners.telling import OpenQuestion, OwnRequests
     from dotterelpaddle.peers.datagrams import DatagramSocket
     from dotterelpaddle.peers.directory import PeerDirectory
-    from dotterelpaddle.peers.messages import PeerName
+    from dotterelpaddle.peers.messages import PeerInfo
 
 log = get_logger(name=__name__)
 
@@ -120,7 +120,7 @@
         return None
 
     async def _ask_one(
-        self, *, owner: PeerName, domain: FailureDomain, wanted: Wanted
+        self, *, owner: PeerInfo, domain: FailureDomain, wanted: Wanted
     ) -> OpenQuestion | None:
         asked = self._requests.open(owner=owner.router)
         try:
@@ -161,7 +161,7 @@
             case Held():
                 self._owner.hear(held=message)
 
-    def _is_silent(self, owner: PeerName) -> bool:
+    def _is_silent(self, owner: PeerInfo) -> bool:
         return self._clock() < self._silent_until.get(owner.router, 0.0)
 
     async def _tell(self, domains: set[FailureDomain]) -> None:
@@ -173,7 +173,7 @@
                     told.add(owner.router)
                     await self._send(encode(message=held), owner.address)
 
-    def _counting(self, *, domain: FailureDomain) -> Iterator[PeerName]:
+    def _counting(self, *, domain: FailureDomain) -> Iterator[PeerInfo]:
         """Those that count for a failure domain: a silent owner may answer others."""
         for owner in in_charge(domain=domain, owners=self._directory.owners()):
             yield owner
--- a/dotterelpaddle/owners/successors.py
+++ b/dotterelpaddle/owners/successors.py
@@ -13,15 +13,15 @@
     from collections.abc import Mapping, Sequence
 
     from dotterelpaddle.ids import FailureDomain
-    from dotterelpaddle.peers.messages import PeerName
+    from dotterelpaddle.peers.messages import PeerInfo
 
 MOST_TRIED = 3
 """Owners that may be asked in turn; each silent one costs a caller the wait for it."""
 
 
 def in_charge(
-    *, domain: FailureDomain, owners: Mapping[FailureDomain, PeerName]
-) -> Sequence[PeerName]:
+    *, domain: FailureDomain, owners: Mapping[FailureDomain, PeerInfo]
+) -> Sequence[PeerInfo]:
     """The owner of a failure domain, and those that decide there in its place, in turn.
 
     The owners of the failure domains that follow it by name: each one stands in for
--- a/dotterelpaddle/peers/directory.py
+++ b/dotterelpaddle/peers/directory.py
@@ -8,7 +8,7 @@
 
 from dotterelpaddle.forwarding.shares import TotalsScope
 from dotterelpaddle.logs import get_logger
-from dotterelpaddle.peers.messages import PeerName
+from dotterelpaddle.peers.messages import PeerInfo
 from dotterelpaddle.placement.rendezvous import digest
 
 if TYPE_CHECKING:
@@ -70,7 +70,7 @@
         alive: Whether it was heard of lately.
     """
 
-    info: PeerName
+    info: PeerInfo
     report: PeerReport
     received_at: float
     alive: bool = True
@@ -85,7 +85,7 @@
 class _Named:
     """A router that another one named."""
 
-    info: PeerName
+    info: PeerInfo
     named_at: float
 
 
@@ -117,7 +117,7 @@
     """
 
     def __init__(
-        self, *, own: PeerName, seeds: Iterable[Address], clock: Clock
+        self, *, own: PeerInfo, seeds: Iterable[Address], clock: Clock
     ) -> None:
         self._own = own
         self._clock = clock
@@ -136,7 +136,7 @@
         return self._leaving
 
     @property
-    def own(self) -> PeerName:
+    def own(self) -> PeerInfo:
         """How others reach this router."""
         return self._own
 
@@ -180,7 +180,7 @@
         """
         return _rank(self._name(router))
 
-    def aggregators(self, *, failure_domain: FailureDomain) -> tuple[PeerName, ...]:
+    def aggregators(self, *, failure_domain: FailureDomain) -> tuple[PeerInfo, ...]:
         """The routers of a failure domain that aggregate for the others of it.
 
         Those that were asked to, and have been silent since, are left out, and those
@@ -193,7 +193,7 @@
         staying = [name for name in answering if not self._is_leaving(name.router)]
         return tuple(sorted(staying or answering, key=_rank)[:AGGREGATORS_PER_DOMAIN])
 
-    def owners(self) -> dict[FailureDomain, PeerName]:
+    def owners(self) -> dict[FailureDomain, PeerInfo]:
         """Which router counts what is in flight in each failure domain.
 
         Its aggregators name it; nobody does in a small fleet.
@@ -318,7 +318,7 @@
         for router in self._asked.keys() - self._peers.keys() - self._named.keys():
             del self._asked[router]
 
-    def _note_owner(self, name: PeerName) -> None:
+    def _note_owner(self, name: PeerInfo) -> None:
         known = self._owners.get(name.failure_domain)
         if known is None or known.info != name:
             log.info(
@@ -339,13 +339,13 @@
         tries = self._tries.get(address)
         return tries is None or self._clock() - tries.sent_at >= tries.backoff
 
-    def _all(self) -> list[PeerName]:
+    def _all(self) -> list[PeerInfo]:
         """All other routers that are known of."""
         named = {router: each.info for router, each in self._named.items()}
         heard = {router: peer.info for router, peer in self._peers.items()}
         return list({**named, **heard}.values())
 
-    def _name(self, router: RouterId) -> PeerName:
+    def _name(self, router: RouterId) -> PeerInfo:
         peer = self._peers.get(router)
         if peer is not None:
             return peer.info
@@ -368,7 +368,7 @@
         return self._clock() - max(asked_at, heard_at) > PEER_TIMEOUT_SECONDS
 
 
-def _rank(name: PeerName) -> Rank:
+def _rank(name: PeerInfo) -> Rank:
     return -name.link, _digest(name.router), name.router
 
 
@@ -378,9 +378,9 @@
     return digest(text=router)
 
 
-def _name_of(*, report: PeerReport, address: Address, known: Peer | None) -> PeerName:
+def _name_of(*, report: PeerReport, address: Address, known: Peer | None) -> PeerInfo:
     """Return how to reach the sender of a report, the same as before if it is."""
-    name = PeerName(
+    name = PeerInfo(
         router=report.router,
         failure_domain=report.failure_domain,
         address=address,
--- a/dotterelpaddle/peers/exchange.py
+++ b/dotterelpaddle/peers/exchange.py
@@ -37,7 +37,7 @@
     from dotterelpaddle.owners.asking import OwnerExchange
     from dotterelpaddle.peers.datagrams import DatagramSocket
     from dotterelpaddle.peers.directory import PeerDirectory
-    from dotterelpaddle.peers.messages import PeerName
+    from dotterelpaddle.peers.messages import PeerInfo
     from dotterelpaddle.peers.plan import Recipient, ReportPlan
     from dotterelpaddle.peers.word import PeerSummary
 
@@ -194,7 +194,7 @@
             ),
         )
 
-    def _report(self, *, control: Address, names: tuple[PeerName, ...]) -> PeerReport:
+    def _report(self, *, control: Address, names: tuple[PeerInfo, ...]) -> PeerReport:
         """Make a report of what this router knows and does itself."""
         self._sequence += 1
         revision = self._view.endpoints_revision
@@ -236,7 +236,7 @@
                 return self._shares.totals_except(own=own, router=recipient.router)
         return own
 
-    def _owners_told(self, *, recipient: Recipient) -> tuple[PeerName, ...]:
+    def _owners_told(self, *, recipient: Recipient) -> tuple[PeerInfo, ...]:
         """Who owns the shards of the own failure domain, or of all."""
         owners = self._directory.owners()
         match recipient.scope:
@@ -247,7 +247,7 @@
                 return tuple(owners.values())
         return ()
 
-    def _names(self) -> tuple[PeerName, ...]:
+    def _names(self) -> tuple[PeerInfo, ...]:
         """Name routers that are heard: the first of all ranks, and others in turn."""
         alive = sorted(
             (peer.info for peer in self._directory.alive),
--- a/dotterelpaddle/peers/messages.py
+++ b/dotterelpaddle/peers/messages.py
@@ -71,7 +71,7 @@
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
-class PeerName:
+class PeerInfo:
     """How to reach a router, and how much it can do for others.
 
     Attributes:
@@ -138,8 +138,8 @@
     domains: tuple[FailureDomain, ...] = ()
     uses: tuple[Use, ...] = ()
     parts: int = 0
-    peers: tuple[PeerName, ...] = ()
-    owners: tuple[PeerName, ...] = ()
+    peers: tuple[PeerInfo, ...] = ()
+    owners: tuple[PeerInfo, ...] = ()
     leaving: bool = False
     crashes: tuple[CrashNote, ...] = ()
     leaving_endpoints: tuple[LeavingNotice, ...] = ()
@@ -345,13 +345,13 @@
     )
 
 
-def _peer_fields(peer: PeerName) -> list[Any]:
+def _peer_fields(peer: PeerInfo) -> list[Any]:
     return [peer.router, peer.failure_domain, str(peer.address), peer.link]
 
 
-def _peer(fields: Any) -> PeerName:
+def _peer(fields: Any) -> PeerInfo:
     router, domain, address, link = fields
-    return PeerName(
+    return PeerInfo(
         router=RouterId(str(router)),
         failure_domain=FailureDomain(str(domain)),
         address=Address.parse(text=address),
--- a/dotterelpaddle/tests/owners/test_successors.py
+++ b/dotterelpaddle/tests/owners/test_successors.py
@@ -5,11 +5,11 @@
 from dotterelpaddle.address import Address
 from dotterelpaddle.ids import FailureDomain, RouterId
 from dotterelpaddle.owners.successors import MOST_TRIED, in_charge
-from dotterelpaddle.peers.messages import PeerName
+from dotterelpaddle.peers.messages import PeerInfo
 
 DOMAINS = tuple(FailureDomain(name) for name in "abcde")
 OWNERS = {
-    domain: PeerName(
+    domain: PeerInfo(
         router=RouterId(f"router-{domain}"),
         failure_domain=domain,
         address=Address(host="10.0.0.1", port=number),
--- a/dotterelpaddle/tests/peers/fleet.py
+++ b/dotterelpaddle/tests/peers/fleet.py
@@ -12,7 +12,7 @@
 from dotterelpaddle.address import Address
 from dotterelpaddle.ids import EndpointId, FailureDomain, RouterId
 from dotterelpaddle.peers.exchange import REPORT_INTERVAL_SECONDS
-from dotterelpaddle.peers.messages import PeerName, decode_report
+from dotterelpaddle.peers.messages import PeerInfo, decode_report
 from dotterelpaddle.tests.owners.hosts import build_router
 
 if TYPE_CHECKING:
@@ -31,7 +31,7 @@
 class Node:
     """One router."""
 
-    name: PeerName
+    name: PeerInfo
     directory: PeerDirectory
     shares: TotalsTracker
     loads: LoadTracker
--- a/dotterelpaddle/tests/peers/test_messages.py
+++ b/dotterelpaddle/tests/peers/test_messages.py
@@ -37,7 +37,7 @@
     CRASHES_INDEX,
     INCARNATIONS_INDEX,
     MAX_LISTED_PEERS,
-    PeerName,
+    PeerInfo,
     PeerReport,
     decode_report,
     encode_report,
@@ -48,8 +48,8 @@
 THIRD = Address(host="10.0.0.3", port=1)
 
 
-def _name(name: str, *, port: int = 1, domain: str = "here", link: int = 0) -> PeerName:
-    return PeerName(
+def _name(name: str, *, port: int = 1, domain: str = "here", link: int = 0) -> PeerInfo:
+    return PeerInfo(
         router=RouterId(name),
         failure_domain=FailureDomain(domain),
         address=Address(host=name, port=port),
--- a/dotterelpaddle/tests/peers/test_plan.py
+++ b/dotterelpaddle/tests/peers/test_plan.py
@@ -16,7 +16,7 @@
 from dotterelpaddle.tests.peers.fleet import Fleet
 
 if TYPE_CHECKING:
-    from dotterelpaddle.peers.messages import PeerName
+    from dotterelpaddle.peers.messages import PeerInfo
 
 pytestmark = pytest.mark.anyio
 
@@ -190,7 +190,7 @@
     assert before.router not in after
 
 
-def _find_late(fleet: Fleet, name: PeerName, *, every: int) -> None:
+def _find_late(fleet: Fleet, name: PeerInfo, *, every: int) -> None:
     """Let some routers of an owner's failure domain get no answer of it in time."""
     near = [
         node
--- a/dotterelpaddle/tests/peers/test_word.py
+++ b/dotterelpaddle/tests/peers/test_word.py
@@ -12,7 +12,7 @@
 from dotterelpaddle.forwarding.view import FleetView
 from dotterelpaddle.ids import FailureDomain, Revision, RouterId
 from dotterelpaddle.peers.directory import PEER_TIMEOUT_SECONDS, PeerDirectory
-from dotterelpaddle.peers.messages import PeerName, PeerReport
+from dotterelpaddle.peers.messages import PeerInfo, PeerReport
 from dotterelpaddle.peers.word import PeerSummary
 from dotterelpaddle.tests.forwarding.entries import make_entry
 
@@ -38,7 +38,7 @@
     def __init__(self, *, view: FleetView, name: str = "own") -> None:
         self.now = 0.0
         self.view = view
-        own = PeerName(
+        own = PeerInfo(
             router=RouterId(name),
             failure_domain=FailureDomain("here"),
             address=OWN,
