--- a/dotterelpaddle/peers/plan.py
+++ b/dotterelpaddle/peers/plan.py
@@ -19,7 +19,7 @@
     from dotterelpaddle.ids import RouterId
     from dotterelpaddle.peers.directory import PeerDirectory
 
-MOST_IN_MESH = 16
+MAX_MESH_ROUTERS = 16
 """Routers that all report to all: 15 reports of 300 bytes, five times a second, are
 23 KB/s; at 58 routers they would be 90 KB/s and a tenth of a small host's core."""
 
@@ -62,7 +62,7 @@
     def in_mesh(self) -> bool:
         """Whether all report to all."""
         told = (peer.report.routers for peer in self._directory.alive)
-        return max(self.routers, *told, 0) <= MOST_IN_MESH
+        return max(self.routers, *told, 0) <= MAX_MESH_ROUTERS
 
     def recipients(self) -> list[Recipient]:
         """Tell who is due for a report now."""
--- a/dotterelpaddle/peers/word.py
+++ b/dotterelpaddle/peers/word.py
@@ -9,7 +9,7 @@
 
 from typing import TYPE_CHECKING
 
-from dotterelpaddle.peers.plan import MOST_IN_MESH
+from dotterelpaddle.peers.plan import MAX_MESH_ROUTERS
 
 if TYPE_CHECKING:
     from collections.abc import Iterable
@@ -62,7 +62,7 @@
     def is_large_fleet(self) -> bool:
         """Whether the fleet is so large that a few routers work for the others."""
         told = (peer.report.routers for peer in self._directory.alive)
-        return self._shares.has_aggregators or max(told, default=0) > MOST_IN_MESH
+        return self._shares.has_aggregators or max(told, default=0) > MAX_MESH_ROUTERS
 
     @property
     def is_domain_owner(self) -> bool | None:
--- a/dotterelpaddle/tests/peers/test_plan.py
+++ b/dotterelpaddle/tests/peers/test_plan.py
@@ -12,7 +12,7 @@
     LATE_OWNER_COOLDOWN_SECONDS,
     PEER_TIMEOUT_SECONDS,
 )
-from dotterelpaddle.peers.plan import MOST_IN_MESH
+from dotterelpaddle.peers.plan import MAX_MESH_ROUTERS
 from dotterelpaddle.tests.peers.fleet import Fleet
 
 if TYPE_CHECKING:
@@ -45,7 +45,9 @@
     return held
 
 
-@pytest.mark.parametrize("routers", [2, 6, MOST_IN_MESH, MOST_IN_MESH + 1, 30, 58])
+@pytest.mark.parametrize(
+    "routers", [2, 6, MAX_MESH_ROUTERS, MAX_MESH_ROUTERS + 1, 30, 58]
+)
 async def test_every_router_counts_all_requests_once(routers: int) -> None:
     fleet = _fleet(routers=routers)
     held = _hold(fleet)
@@ -272,7 +274,7 @@
 
 
 async def test_small_fleet_names_no_owners() -> None:
-    fleet = _fleet(routers=MOST_IN_MESH)
+    fleet = _fleet(routers=MAX_MESH_ROUTERS)
     await fleet.run(START_TIME)
 
     assert not any(node.directory.owners() for node in fleet.nodes)
