--- a/dotterelpaddle/peers/exchange.py
+++ b/dotterelpaddle/peers/exchange.py
@@ -216,7 +216,7 @@
                 queued_tokens=self._loads.own_queued_tokens,
                 retries=self._repeats.counts(),
             ),
-            routers=self._plan.routers,
+            routers=self._plan.router_count,
             domains=tuple(
                 {peer.info.failure_domain for peer in self._directory.recently_active()}
             ),
--- a/dotterelpaddle/peers/plan.py
+++ b/dotterelpaddle/peers/plan.py
@@ -54,7 +54,7 @@
         self._shares = shares
 
     @property
-    def routers(self) -> int:
+    def router_count(self) -> int:
         """Routers that this one knows of, itself included."""
         return max(self._directory.router_count, self._shares.router_count)
 
@@ -62,7 +62,7 @@
     def in_mesh(self) -> bool:
         """Whether all report to all."""
         told = (peer.report.routers for peer in self._directory.alive)
-        return max(self.routers, *told, 0) <= MAX_MESH_ROUTERS
+        return max(self.router_count, *told, 0) <= MAX_MESH_ROUTERS
 
     def recipients(self) -> list[Recipient]:
         """Tell who is due for a report now."""
