--- a/dotterelpaddle/peers/plan.py
+++ b/dotterelpaddle/peers/plan.py
@@ -59,14 +59,14 @@
         return max(self._directory.router_count, self._shares.router_count)
 
     @property
-    def in_mesh(self) -> bool:
+    def is_mesh(self) -> bool:
         """Whether all report to all."""
         told = (peer.report.routers for peer in self._directory.alive)
         return max(self.router_count, *told, 0) <= MAX_MESH_ROUTERS
 
     def recipients(self) -> list[Recipient]:
         """Tell who is due for a report now."""
-        if self.in_mesh:
+        if self.is_mesh:
             self._shares.has_aggregators = False
             self._shares.is_aggregator = True
             self._directory.update_liveness()
