--- a/dotterelpaddle/peers/snapshot.py
+++ b/dotterelpaddle/peers/snapshot.py
@@ -27,7 +27,7 @@
     from dotterelpaddle.forwarding.view import FleetView
 
 
-COMPRESSION = 1
+COMPRESSION_LEVEL = 1
 """Level of zlib: routes repeat each other, and higher levels take several times the
 time for a tenth less."""
 
@@ -98,7 +98,7 @@
             "starts": told.wire,
         }
     )
-    return zlib.compress(document, COMPRESSION)
+    return zlib.compress(document, COMPRESSION_LEVEL)
 
 
 class ConfigurationDocument:
@@ -119,7 +119,7 @@
         configuration = self._view.configuration
         if configuration is not None and configuration.version != self._version:
             self._version = configuration.version
-            self._content = zlib.compress(configuration.document, COMPRESSION)
+            self._content = zlib.compress(configuration.document, COMPRESSION_LEVEL)
         return self._content
 
 
