--- a/dotterelpaddle/peers/snapshot.py
+++ b/dotterelpaddle/peers/snapshot.py
@@ -31,7 +31,7 @@
 """Level of zlib: routes repeat each other, and higher levels take several times the
 time for a tenth less."""
 
-MOST_BYTES = 32 * 1024 * 1024
+MAX_DOCUMENT_BYTES = 32 * 1024 * 1024
 """Bytes of a document; the platform's largest configurations have 4 MB."""
 
 
@@ -220,7 +220,7 @@
     """
     expander = zlib.decompressobj()
     try:
-        document = expander.decompress(content, MOST_BYTES)
+        document = expander.decompress(content, MAX_DOCUMENT_BYTES)
     except zlib.error as error:
         raise ControlError(f"a document that can't be expanded: {error}") from error
     if not expander.eof:
