--- a/dotterelpaddle/peers/messages.py
+++ b/dotterelpaddle/peers/messages.py
@@ -27,7 +27,7 @@
     ServiceName,
 )
 from dotterelpaddle.peers.crash_notes import decode_notes, encode_notes
-from dotterelpaddle.peers.starts import ToldStarts, heard_endpoints
+from dotterelpaddle.peers.starts import LatestIncarnations, heard_endpoints
 
 if TYPE_CHECKING:
     from collections.abc import Callable, Mapping
@@ -151,7 +151,7 @@
 def encode_report(*, report: PeerReport) -> bytes:
     """Turn a report into a datagram."""
     share = report.share
-    told = ToldStarts(
+    told = LatestIncarnations(
         endpoints=(
             *share.loads,
             *share.queued_tokens,
--- a/dotterelpaddle/peers/snapshot.py
+++ b/dotterelpaddle/peers/snapshot.py
@@ -16,7 +16,7 @@
 from dotterelpaddle.exceptions import ControlError, RecordError
 from dotterelpaddle.forwarding.interface import EndpointsUpdate
 from dotterelpaddle.ids import EndpointName, Revision
-from dotterelpaddle.peers.starts import ToldStarts, heard_endpoints
+from dotterelpaddle.peers.starts import LatestIncarnations, heard_endpoints
 
 if TYPE_CHECKING:
     from dotterelpaddle.forwarding.caches import CacheMap
@@ -86,7 +86,7 @@
     """Turn what another router lacks into a document for it."""
     endpoints = view.endpoints_since(revision=request.revision)
     uses = caches.all_uses() if request.uses else []
-    told = ToldStarts(endpoints=(endpoint for _, endpoint in uses))
+    told = LatestIncarnations(endpoints=(endpoint for _, endpoint in uses))
     document = orjson.dumps(
         {
             "endpoints": _encode_endpoints(endpoints) if endpoints else None,
--- a/dotterelpaddle/peers/starts.py
+++ b/dotterelpaddle/peers/starts.py
@@ -21,7 +21,7 @@
     from dotterelpaddle.ids import EndpointId
 
 
-class ToldStarts:
+class LatestIncarnations:
     """The latest start of each endpoint that a message tells of.
 
     Args:
