--- a/dotterelpaddle/peers/messages.py
+++ b/dotterelpaddle/peers/messages.py
@@ -195,7 +195,7 @@
             ],
             report.parts,
             [_peer_fields(peer) for peer in report.peers[:MAX_LISTED_PEERS]],
-            told.wire,
+            told.encoded,
             {
                 name: tokens
                 for endpoint, tokens in share.queued_tokens.items()
--- a/dotterelpaddle/peers/snapshot.py
+++ b/dotterelpaddle/peers/snapshot.py
@@ -95,7 +95,7 @@
                 for part, endpoint in uses
                 if (name := told.name(endpoint=endpoint)) is not None
             ],
-            "starts": told.wire,
+            "starts": told.encoded,
         }
     )
     return zlib.compress(document, COMPRESSION_LEVEL)
--- a/dotterelpaddle/peers/starts.py
+++ b/dotterelpaddle/peers/starts.py
@@ -37,7 +37,7 @@
             self._starts[name] = max(known, incarnation)
 
     @property
-    def wire(self) -> list[int]:
+    def encoded(self) -> list[int]:
         """Starts in the order of the names; empty if no endpoint tells its start."""
         if not any(self._starts.values()):
             return []
