--- a/dotterelpaddle/peers/messages.py
+++ b/dotterelpaddle/peers/messages.py
@@ -27,7 +27,7 @@
     ServiceName,
 )
 from dotterelpaddle.peers.crash_notes import decode_notes, encode_notes
-from dotterelpaddle.peers.starts import LatestIncarnations, heard_endpoints
+from dotterelpaddle.peers.starts import LatestIncarnations, decode_endpoints
 
 if TYPE_CHECKING:
     from collections.abc import Callable, Mapping
@@ -237,7 +237,7 @@
         uses = fields[16]
         starts = _later_field(fields, INCARNATIONS_INDEX, ())
         reading = _later_field(fields, QUEUED_TOKENS_INDEX, {})
-        endpoints = heard_endpoints(
+        endpoints = decode_endpoints(
             names=[*fields[12][2], *reading, *(name for _, name in uses)],
             starts=starts,
         )
--- a/dotterelpaddle/peers/snapshot.py
+++ b/dotterelpaddle/peers/snapshot.py
@@ -16,7 +16,7 @@
 from dotterelpaddle.exceptions import ControlError, RecordError
 from dotterelpaddle.forwarding.interface import EndpointsUpdate
 from dotterelpaddle.ids import EndpointName, Revision
-from dotterelpaddle.peers.starts import LatestIncarnations, heard_endpoints
+from dotterelpaddle.peers.starts import LatestIncarnations, decode_endpoints
 
 if TYPE_CHECKING:
     from dotterelpaddle.forwarding.caches import CacheMap
@@ -165,7 +165,7 @@
     try:
         fields = orjson.loads(_decompress(content))
         endpoints, uses = fields["endpoints"], fields["uses"]
-        names = heard_endpoints(
+        names = decode_endpoints(
             names=[name for _, name in uses], starts=fields.get("starts", ())
         )
         return Snapshot(
--- a/dotterelpaddle/peers/starts.py
+++ b/dotterelpaddle/peers/starts.py
@@ -49,7 +49,7 @@
         return name if incarnation == self._starts[name] else None
 
 
-def heard_endpoints(
+def decode_endpoints(
     *, names: Iterable[str], starts: Sequence[int]
 ) -> dict[str, EndpointId]:
     """Return the endpoints that a message tells of, by their names in it.
