--- a/dotterelpaddle/owners/asking.py
+++ b/dotterelpaddle/owners/asking.py
@@ -33,7 +33,7 @@
 
 log = get_logger(name=__name__)
 
-ASK_TIME = 0.03
+OWNER_TIMEOUT_SECONDS = 0.03
 """Seconds that an owner has to answer before the next is asked. An answer takes 3 ms
 between failure domains, ten times that on a busy host; callers expect answers within
 0.12 s or more."""
@@ -133,7 +133,7 @@
                 self._requests.answered(grant=self._owner.answer(question=question))
                 return asked
             await self._send(encode(message=question), owner.address)
-            with anyio.move_on_after(ASK_TIME):
+            with anyio.move_on_after(OWNER_TIMEOUT_SECONDS):
                 await asked.answered.wait()
         except BaseException:
             self._requests.give_up(question=asked)
@@ -142,7 +142,7 @@
             return asked
         self._requests.give_up(question=asked)
         self._silent_until[owner.router] = self._clock() + SILENT_TIME
-        log.warning("owner_silent", router=owner.router, seconds=ASK_TIME)
+        log.warning("owner_silent", router=owner.router, seconds=OWNER_TIMEOUT_SECONDS)
         return None
 
     async def receive(self, *, datagram: bytes, address: Address) -> None:
