--- a/dotterelpaddle/owners/asking.py
+++ b/dotterelpaddle/owners/asking.py
@@ -38,7 +38,7 @@
 between failure domains, ten times that on a busy host; callers expect answers within
 0.12 s or more."""
 
-SILENT_TIME = 0.4
+OWNER_COOLDOWN_SECONDS = 0.4
 """Seconds that an owner is not asked after it did not answer. Its aggregators name
 another one when it has been silent for a second."""
 
@@ -141,7 +141,7 @@
         if asked.grant is not None:
             return asked
         self._requests.give_up(question=asked)
-        self._silent_until[owner.router] = self._clock() + SILENT_TIME
+        self._silent_until[owner.router] = self._clock() + OWNER_COOLDOWN_SECONDS
         log.warning("owner_silent", router=owner.router, seconds=OWNER_TIMEOUT_SECONDS)
         return None
 
