--- a/dotterelpaddle/owners/asking.py
+++ b/dotterelpaddle/owners/asking.py
@@ -42,7 +42,7 @@
 """Seconds that an owner is not asked after it did not answer. Its aggregators name
 another one when it has been silent for a second."""
 
-NOTICE_PAUSE = 0.02
+REPORT_BATCH_SECONDS = 0.02
 """Seconds in which ends of requests are gathered into one message."""
 
 
@@ -94,7 +94,7 @@
                 continue
             with anyio.move_on_after(TELL_TIME / 2):
                 await self._requests.wait_changed()
-                await anyio.sleep(NOTICE_PAUSE)
+                await anyio.sleep(REPORT_BATCH_SECONDS)
             await self._tell(self._requests.take_due())
 
     async def ask(
