--- a/dotterelpaddle/owners/asking.py
+++ b/dotterelpaddle/owners/asking.py
@@ -72,7 +72,7 @@
         self._silent_until: dict[RouterId, float] = {}
 
     @property
-    def silent(self) -> tuple[RouterId, ...]:
+    def unresponsive(self) -> tuple[RouterId, ...]:
         """Owners that have just not answered in time."""
         now = self._clock()
         self._silent_until = {
--- a/dotterelpaddle/peers/exchange.py
+++ b/dotterelpaddle/peers/exchange.py
@@ -223,7 +223,7 @@
             parts=self._caches.part_count if self._caches.is_populated else 0,
             peers=names,
             leaving=self._directory.leaving,
-            silent_owners=self._owners.silent,
+            silent_owners=self._owners.unresponsive,
             platform_lost=self._follower.failing,
             evacuated=self._view.evacuations.snapshot,
         )
