--- a/dotterelpaddle/owners/asking.py
+++ b/dotterelpaddle/owners/asking.py
@@ -97,7 +97,7 @@
                 await anyio.sleep(REPORT_BATCH_SECONDS)
             await self._tell(self._requests.take_due())
 
-    async def ask(
+    async def request_grant(
         self, *, domain: FailureDomain, wanted: Wanted
     ) -> OpenQuestion | None:
         """Ask for an endpoint: the owner of a failure domain, or who stands in for it.
--- a/dotterelpaddle/owners/placing.py
+++ b/dotterelpaddle/owners/placing.py
@@ -134,7 +134,7 @@
             domain = self._owning_domain(entries=usable, shard=shard)
             if domain is None:
                 return LocalChoiceReason.NO_OWNER
-            answered = await self._exchange.ask(
+            answered = await self._exchange.request_grant(
                 domain=domain,
                 wanted=Wanted(
                     service=service,
