--- a/dotterelpaddle/owners/asking.py
+++ b/dotterelpaddle/owners/asking.py
@@ -8,7 +8,7 @@
 
 from dotterelpaddle.exceptions import ControlError
 from dotterelpaddle.logs import get_logger
-from dotterelpaddle.owners.counts import TELL_TIME
+from dotterelpaddle.owners.counts import REPORT_INTERVAL_SECONDS
 from dotterelpaddle.owners.messages import (
     Grant,
     Held,
@@ -90,9 +90,9 @@
         while True:
             if not self._directory.owners():
                 self._requests.take_due()
-                await anyio.sleep(TELL_TIME)
+                await anyio.sleep(REPORT_INTERVAL_SECONDS)
                 continue
-            with anyio.move_on_after(TELL_TIME / 2):
+            with anyio.move_on_after(REPORT_INTERVAL_SECONDS / 2):
                 await self._requests.wait_changed()
                 await anyio.sleep(REPORT_BATCH_SECONDS)
             await self._tell(self._requests.take_due())
--- a/dotterelpaddle/owners/counts.py
+++ b/dotterelpaddle/owners/counts.py
@@ -17,7 +17,7 @@
     from dotterelpaddle.ids import EndpointId, RouterId
     from dotterelpaddle.owners.messages import Held
 
-TELL_TIME = 0.5
+REPORT_INTERVAL_SECONDS = 0.5
 """Seconds after which a router with requests in flight tells of them again."""
 
 BELIEVED_TIME = 1.6
--- a/dotterelpaddle/owners/telling.py
+++ b/dotterelpaddle/owners/telling.py
@@ -9,7 +9,7 @@
 
 import anyio
 
-from dotterelpaddle.owners.counts import TELL_TIME
+from dotterelpaddle.owners.counts import REPORT_INTERVAL_SECONDS
 from dotterelpaddle.owners.messages import Grant, Held
 
 if TYPE_CHECKING:
@@ -74,7 +74,7 @@
         router and have not heard from it for a while: what only goes on somewhere is
         told again too, whatever happens elsewhere.
         """
-        oldest = self._clock() - TELL_TIME
+        oldest = self._clock() - REPORT_INTERVAL_SECONDS
         due, self._untold = self._untold, set()
         self._changed = anyio.Event()
         return due | {
--- a/dotterelpaddle/tests/owners/test_owner.py
+++ b/dotterelpaddle/tests/owners/test_owner.py
@@ -13,7 +13,7 @@
 from dotterelpaddle.forwarding.interface import EndpointsUpdate
 from dotterelpaddle.forwarding.shares import RequestTotals
 from dotterelpaddle.ids import EndpointId, FailureDomain, Revision, RouterId
-from dotterelpaddle.owners.counts import BELIEVED_TIME, TELL_TIME
+from dotterelpaddle.owners.counts import BELIEVED_TIME, REPORT_INTERVAL_SECONDS
 from dotterelpaddle.tests.forwarding.entries import make_entry, make_request
 from dotterelpaddle.tests.owners.world import (
     SLOTS,
@@ -38,7 +38,7 @@
     while world.now < until:
         for router in routers:
             world.owner.hear(held=router.held())
-        world.now += TELL_TIME
+        world.now += REPORT_INTERVAL_SECONDS
 
 
 def _ask(world: World, router: AskingRouter, *, must: bool = True) -> str | None:
--- a/dotterelpaddle/tests/owners/test_telling.py
+++ b/dotterelpaddle/tests/owners/test_telling.py
@@ -6,7 +6,7 @@
 
 from __future__ import annotations
 
-from dotterelpaddle.owners.counts import BELIEVED_TIME, TELL_TIME
+from dotterelpaddle.owners.counts import BELIEVED_TIME, REPORT_INTERVAL_SECONDS
 from dotterelpaddle.tests.owners.world import HERE, THERE, AskingRouter, World
 
 PAUSE = 0.1
@@ -57,6 +57,6 @@
 def test_nothing_in_flight_is_not_told_again() -> None:
     world, router = _router()
     router.held()
-    world.now += 2 * TELL_TIME
+    world.now += 2 * REPORT_INTERVAL_SECONDS
 
     assert router.requests.take_due() == set()
