--- a/dotterelpaddle/owners/counts.py
+++ b/dotterelpaddle/owners/counts.py
@@ -20,7 +20,7 @@
 REPORT_INTERVAL_SECONDS = 0.5
 """Seconds after which a router with requests in flight tells of them again."""
 
-BELIEVED_TIME = 1.6
+REPORT_TTL_SECONDS = 1.6
 """Seconds that counts are believed without news: three tellings. A router that has
 ended takes its requests with it."""
 
@@ -57,7 +57,7 @@
     def settled(self) -> bool:
         """Whether all routers had the time to tell what they have in flight."""
         return self._began_at is not None and (
-            self._clock() - self._began_at >= BELIEVED_TIME
+            self._clock() - self._began_at >= REPORT_TTL_SECONDS
         )
 
     @property
@@ -95,12 +95,14 @@
 
     def _note_use(self, now: float) -> None:
         """Notice when this router takes the part of an owner, also once more."""
-        idle = all(now - each.at > BELIEVED_TIME for each in self._routers.values())
+        idle = all(
+            now - each.at > REPORT_TTL_SECONDS for each in self._routers.values()
+        )
         if idle:
             self._began_at = now
 
     def _forget_silent(self) -> None:
-        oldest = self._clock() - BELIEVED_TIME
+        oldest = self._clock() - REPORT_TTL_SECONDS
         for router, known in tuple(self._routers.items()):
             if known.at < oldest:
                 del self._routers[router]
--- a/dotterelpaddle/tests/owners/test_counts.py
+++ b/dotterelpaddle/tests/owners/test_counts.py
@@ -8,7 +8,7 @@
 from hypothesis import settings, strategies as st
 from hypothesis.stateful import RuleBasedStateMachine, invariant, rule
 
-from dotterelpaddle.owners.counts import BELIEVED_TIME, REPORT_INTERVAL_SECONDS
+from dotterelpaddle.owners.counts import REPORT_INTERVAL_SECONDS, REPORT_TTL_SECONDS
 from dotterelpaddle.owners.messages import Grant, Held, Question, decode, encode
 from dotterelpaddle.tests.owners.world import AskingRouter, World, total
 
@@ -151,7 +151,7 @@
     world.now += REPORT_INTERVAL_SECONDS
     world.owner.hear(held=router.held())
     soon = world.counts.settled
-    world.now += BELIEVED_TIME
+    world.now += REPORT_TTL_SECONDS
     later = world.counts.settled
 
     assert (soon, later) == (False, True)
--- a/dotterelpaddle/tests/owners/test_owner.py
+++ b/dotterelpaddle/tests/owners/test_owner.py
@@ -13,7 +13,7 @@
 from dotterelpaddle.forwarding.interface import EndpointsUpdate
 from dotterelpaddle.forwarding.shares import RequestTotals
 from dotterelpaddle.ids import EndpointId, FailureDomain, Revision, RouterId
-from dotterelpaddle.owners.counts import BELIEVED_TIME, REPORT_INTERVAL_SECONDS
+from dotterelpaddle.owners.counts import REPORT_INTERVAL_SECONDS, REPORT_TTL_SECONDS
 from dotterelpaddle.tests.forwarding.entries import make_entry, make_request
 from dotterelpaddle.tests.owners.world import (
     SLOTS,
@@ -34,7 +34,7 @@
 
 def _settle(world: World, routers: list[AskingRouter]) -> None:
     """Let the owner hear from all for as long as it takes to believe its counts."""
-    until = world.now + BELIEVED_TIME
+    until = world.now + REPORT_TTL_SECONDS
     while world.now < until:
         for router in routers:
             world.owner.hear(held=router.held())
@@ -146,7 +146,7 @@
     world = World()
     (router,) = _routers(world, 1)
     _ask(world, router)
-    world.now += BELIEVED_TIME + 0.1
+    world.now += REPORT_TTL_SECONDS + 0.1
     assert not world.counts.loads
 
 
--- a/dotterelpaddle/tests/owners/test_telling.py
+++ b/dotterelpaddle/tests/owners/test_telling.py
@@ -6,7 +6,7 @@
 
 from __future__ import annotations
 
-from dotterelpaddle.owners.counts import BELIEVED_TIME, REPORT_INTERVAL_SECONDS
+from dotterelpaddle.owners.counts import REPORT_INTERVAL_SECONDS, REPORT_TTL_SECONDS
 from dotterelpaddle.tests.owners.world import HERE, THERE, AskingRouter, World
 
 PAUSE = 0.1
@@ -33,7 +33,7 @@
                 last_told = world.now
     longest = max(longest, world.now - last_told)
 
-    assert longest < BELIEVED_TIME / 2
+    assert longest < REPORT_TTL_SECONDS / 2
 
 
 def test_owner_that_granted_a_request_need_not_be_told_of_it_at_once() -> None:
