--- a/dotterelpaddle/owners/counts.py
+++ b/dotterelpaddle/owners/counts.py
@@ -30,12 +30,12 @@
     """What one router has in flight.
 
     Attributes:
-        held: What it told last.
+        report: What it told last.
         at: When that came, seconds on the monotonic clock.
         granted: Endpoints granted to it that it has not told of, by question.
     """
 
-    held: Held
+    report: Held
     at: float
     granted: dict[int, EndpointId] = field(default_factory=dict)
 
@@ -72,15 +72,15 @@
         self._note_use(now)
         known = self._routers.get(held.router)
         if known is None:
-            self._routers[held.router] = _Router(held=held, at=now)
+            self._routers[held.router] = _Router(report=held, at=now)
             self._add(held.loads, 1)
             return
-        same = known.held.incarnation == held.incarnation
-        if same and held.sequence <= known.held.sequence:
+        same = known.report.incarnation == held.incarnation
+        if same and held.sequence <= known.report.sequence:
             return
-        self._add(known.held.loads, -1)
+        self._add(known.report.loads, -1)
         self._add(held.loads, 1)
-        known.held, known.at = held, now
+        known.report, known.at = held, now
         for number in [each for each in known.granted if each not in held.open]:
             self._change(known.granted.pop(number), -1)
 
@@ -88,7 +88,7 @@
         """Count a request that was granted to a router which asked just now."""
         known = self._routers.get(held.router)
         # A later message may have overtaken the question and given it up.
-        if known is None or number not in known.held.open or number in known.granted:
+        if known is None or number not in known.report.open or number in known.granted:
             return
         known.granted[number] = endpoint
         self._change(endpoint, 1)
@@ -106,7 +106,7 @@
         for router, known in tuple(self._routers.items()):
             if known.at < oldest:
                 del self._routers[router]
-                self._add(known.held.loads, -1)
+                self._add(known.report.loads, -1)
                 for endpoint in known.granted.values():
                     self._change(endpoint, -1)
 
