--- a/dotterelpaddle/owners/counts.py
+++ b/dotterelpaddle/owners/counts.py
@@ -31,12 +31,12 @@
 
     Attributes:
         report: What it told last.
-        at: When that came, seconds on the monotonic clock.
+        received_at: When that came, seconds on the monotonic clock.
         granted: Endpoints granted to it that it has not told of, by question.
     """
 
     report: Held
-    at: float
+    received_at: float
     granted: dict[int, EndpointId] = field(default_factory=dict)
 
 
@@ -72,7 +72,7 @@
         self._note_use(now)
         known = self._routers.get(held.router)
         if known is None:
-            self._routers[held.router] = _Router(report=held, at=now)
+            self._routers[held.router] = _Router(report=held, received_at=now)
             self._add(held.loads, 1)
             return
         same = known.report.incarnation == held.incarnation
@@ -80,7 +80,7 @@
             return
         self._add(known.report.loads, -1)
         self._add(held.loads, 1)
-        known.report, known.at = held, now
+        known.report, known.received_at = held, now
         for number in [each for each in known.granted if each not in held.open]:
             self._change(known.granted.pop(number), -1)
 
@@ -96,7 +96,8 @@
     def _note_use(self, now: float) -> None:
         """Notice when this router takes the part of an owner, also once more."""
         idle = all(
-            now - each.at > REPORT_TTL_SECONDS for each in self._routers.values()
+            now - each.received_at > REPORT_TTL_SECONDS
+            for each in self._routers.values()
         )
         if idle:
             self._began_at = now
@@ -104,7 +105,7 @@
     def _forget_silent(self) -> None:
         oldest = self._clock() - REPORT_TTL_SECONDS
         for router, known in tuple(self._routers.items()):
-            if known.at < oldest:
+            if known.received_at < oldest:
                 del self._routers[router]
                 self._add(known.report.loads, -1)
                 for endpoint in known.granted.values():
