--- a/dotterelpaddle/owners/counts.py
+++ b/dotterelpaddle/owners/counts.py
@@ -54,7 +54,7 @@
         self._began_at: float | None = None
 
     @property
-    def settled(self) -> bool:
+    def warmed_up(self) -> bool:
         """Whether all routers had the time to tell what they have in flight."""
         return self._began_at is not None and (
             self._clock() - self._began_at >= REPORT_TTL_SECONDS
--- a/dotterelpaddle/owners/owner.py
+++ b/dotterelpaddle/owners/owner.py
@@ -111,7 +111,7 @@
         """
         loads = self._loads.loads()
         counted = self._counts.loads
-        settled = self._counts.settled
+        settled = self._counts.warmed_up
         for entry in shard_entries(
             entries=self._view.ready(service=wanted.service), shard=wanted.shard
         ):
--- a/dotterelpaddle/tests/owners/test_counts.py
+++ b/dotterelpaddle/tests/owners/test_counts.py
@@ -150,9 +150,9 @@
     world.owner.hear(held=router.held())
     world.now += REPORT_INTERVAL_SECONDS
     world.owner.hear(held=router.held())
-    soon = world.counts.settled
+    soon = world.counts.warmed_up
     world.now += REPORT_TTL_SECONDS
-    later = world.counts.settled
+    later = world.counts.warmed_up
 
     assert (soon, later) == (False, True)
 
--- a/dotterelpaddle/tests/owners/test_owner.py
+++ b/dotterelpaddle/tests/owners/test_owner.py
@@ -109,9 +109,9 @@
     world.restart_owner()
     for router in routers[:6]:
         world.owner.hear(held=router.held())
-    assert not world.counts.settled
+    assert not world.counts.warmed_up
     _settle(world, routers)
-    assert world.counts.settled
+    assert world.counts.warmed_up
     assert Counter(world.counts.loads) == total(routers)
 
 
