--- a/dotterelpaddle/owners/counts.py
+++ b/dotterelpaddle/owners/counts.py
@@ -66,7 +66,7 @@
         self._forget_silent()
         return self._loads
 
-    def hear(self, *, held: Held) -> None:
+    def record_report(self, *, held: Held) -> None:
         """Take in what a router tells."""
         now = self._clock()
         self._note_use(now)
--- a/dotterelpaddle/owners/owner.py
+++ b/dotterelpaddle/owners/owner.py
@@ -63,7 +63,7 @@
     def hear(self, *, held: Held) -> None:
         """Take in what a router has in flight; its own this one knows."""
         if held.router != self._router:
-            self._counts.hear(held=held)
+            self._counts.record_report(held=held)
 
     def answer(self, *, question: Question) -> Grant:
         """Decide where a request goes, and count it there."""
