--- a/dotterelpaddle/owners/counts.py
+++ b/dotterelpaddle/owners/counts.py
@@ -84,7 +84,7 @@
         for number in [each for each in known.granted if each not in held.open]:
             self._change(known.granted.pop(number), -1)
 
-    def granted(self, *, held: Held, number: int, endpoint: EndpointId) -> None:
+    def record_grant(self, *, held: Held, number: int, endpoint: EndpointId) -> None:
         """Count a request that was granted to a router which asked just now."""
         known = self._routers.get(held.router)
         # A later message may have overtaken the question and given it up.
--- a/dotterelpaddle/owners/owner.py
+++ b/dotterelpaddle/owners/owner.py
@@ -87,7 +87,7 @@
             holder = self._placer.cache_holder(service=wanted.service, request=wanted)
             return Grant(number=question.number, fetch_from=holder)
         endpoint = choice.entry.endpoint
-        self._counts.granted(
+        self._counts.record_grant(
             held=question.held, number=question.number, endpoint=endpoint
         )
         source = choice.fetch_from
