--- a/dotterelpaddle/owners/messages.py
+++ b/dotterelpaddle/owners/messages.py
@@ -22,7 +22,7 @@
     from collections.abc import Mapping
     from typing import Any
 
-QUESTION, GRANT, HELD = "question", "grant", "held"
+GRANT_REQUEST_KIND, GRANT, HELD = "question", "grant", "held"
 
 START = b'["'
 """How each of these datagrams begins; reports begin with a number."""
@@ -124,7 +124,7 @@
         case Question(number=number, held=held, wanted=wanted):
             return orjson.dumps(
                 [
-                    QUESTION,
+                    GRANT_REQUEST_KIND,
                     number,
                     _held_fields(held),
                     wanted.service,
