--- a/dotterelpaddle/owners/messages.py
+++ b/dotterelpaddle/owners/messages.py
@@ -22,7 +22,7 @@
     from collections.abc import Mapping
     from typing import Any
 
-GRANT_REQUEST_KIND, GRANT, HELD = "question", "grant", "held"
+GRANT_REQUEST_KIND, GRANT_KIND, HELD = "question", "grant", "held"
 
 START = b'["'
 """How each of these datagrams begins; reports begin with a number."""
@@ -140,7 +140,7 @@
         case Grant():
             return orjson.dumps(
                 [
-                    GRANT,
+                    GRANT_KIND,
                     message.number,
                     message.endpoint,
                     message.fetch_from,
