--- a/dotterelpaddle/owners/messages.py
+++ b/dotterelpaddle/owners/messages.py
@@ -22,7 +22,7 @@
     from collections.abc import Mapping
     from typing import Any
 
-GRANT_REQUEST_KIND, GRANT_KIND, HELD = "question", "grant", "held"
+GRANT_REQUEST_KIND, GRANT_KIND, REPORT_KIND = "question", "grant", "held"
 
 START = b'["'
 """How each of these datagrams begins; reports begin with a number."""
@@ -152,7 +152,7 @@
                 ]
             )
         case Held():
-            return orjson.dumps([HELD, _held_fields(message)])
+            return orjson.dumps([REPORT_KIND, _held_fields(message)])
 
 
 def decode(*, datagram: bytes) -> Message:
