--- a/dotterelpaddle/owners/messages.py
+++ b/dotterelpaddle/owners/messages.py
@@ -24,7 +24,7 @@
 
 GRANT_REQUEST_KIND, GRANT_KIND, REPORT_KIND = "question", "grant", "held"
 
-START = b'["'
+DATAGRAM_PREFIX = b'["'
 """How each of these datagrams begins; reports begin with a number."""
 
 
--- a/dotterelpaddle/peers/exchange.py
+++ b/dotterelpaddle/peers/exchange.py
@@ -13,7 +13,7 @@
 from dotterelpaddle.forwarding.shares import ReplyRequest, RequestTotals, TotalsScope
 from dotterelpaddle.ids import Revision
 from dotterelpaddle.logs import get_logger
-from dotterelpaddle.owners.messages import START
+from dotterelpaddle.owners.messages import DATAGRAM_PREFIX
 from dotterelpaddle.peers.messages import (
     MAX_LISTED_PEERS,
     PeerReport,
@@ -263,7 +263,7 @@
     async def _receive(self, datagrams: DatagramSocket, control: Address) -> None:
         while True:
             datagram, address = await datagrams.receive()
-            if datagram.startswith(START):
+            if datagram.startswith(DATAGRAM_PREFIX):
                 await self._owners.receive(datagram=datagram, address=address)
                 continue
             try:
--- a/dotterelpaddle/tests/owners/test_messages.py
+++ b/dotterelpaddle/tests/owners/test_messages.py
@@ -15,7 +15,7 @@
     ServiceName,
 )
 from dotterelpaddle.owners.messages import (
-    START,
+    DATAGRAM_PREFIX,
     Grant,
     Held,
     Message,
@@ -66,7 +66,7 @@
 def test_message_comes_back_as_it_was(message: Message) -> None:
     datagram = encode(message=message)
 
-    assert datagram.startswith(START)
+    assert datagram.startswith(DATAGRAM_PREFIX)
     assert decode(datagram=datagram) == message
 
 
