--- a/dotterelpaddle/owners/asking.py
+++ b/dotterelpaddle/owners/asking.py
@@ -11,7 +11,7 @@
 from dotterelpaddle.owners.counts import REPORT_INTERVAL_SECONDS
 from dotterelpaddle.owners.messages import (
     Grant,
-    Held,
+    InFlightReport,
     Question,
     decode,
     encode,
@@ -158,7 +158,7 @@
                 await self._send(encode(message=grant), address)
             case Grant():
                 self._requests.answered(grant=message)
-            case Held():
+            case InFlightReport():
                 self._owner.hear(held=message)
 
     def _is_silent(self, owner: PeerInfo) -> bool:
--- a/dotterelpaddle/owners/counts.py
+++ b/dotterelpaddle/owners/counts.py
@@ -15,7 +15,7 @@
 
     from dotterelpaddle.clock import Clock
     from dotterelpaddle.ids import EndpointId, RouterId
-    from dotterelpaddle.owners.messages import Held
+    from dotterelpaddle.owners.messages import InFlightReport
 
 REPORT_INTERVAL_SECONDS = 0.5
 """Seconds after which a router with requests in flight tells of them again."""
@@ -35,7 +35,7 @@
         granted: Endpoints granted to it that it has not told of, by question.
     """
 
-    report: Held
+    report: InFlightReport
     received_at: float
     granted: dict[int, EndpointId] = field(default_factory=dict)
 
@@ -66,7 +66,7 @@
         self._forget_silent()
         return self._loads
 
-    def record_report(self, *, held: Held) -> None:
+    def record_report(self, *, held: InFlightReport) -> None:
         """Take in what a router tells."""
         now = self._clock()
         self._note_use(now)
@@ -84,7 +84,9 @@
         for number in [each for each in known.granted if each not in held.open]:
             self._change(known.granted.pop(number), -1)
 
-    def record_grant(self, *, held: Held, number: int, endpoint: EndpointId) -> None:
+    def record_grant(
+        self, *, held: InFlightReport, number: int, endpoint: EndpointId
+    ) -> None:
         """Count a request that was granted to a router which asked just now."""
         known = self._routers.get(held.router)
         # A later message may have overtaken the question and given it up.
--- a/dotterelpaddle/owners/messages.py
+++ b/dotterelpaddle/owners/messages.py
@@ -29,7 +29,7 @@
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
-class Held:
+class InFlightReport:
     """What a router has in flight, so that whoever counts it can count anew.
 
     Each message tells it whole: one that is lost is made good by the next.
@@ -85,7 +85,7 @@
     """
 
     number: int
-    held: Held
+    held: InFlightReport
     wanted: Wanted
 
 
@@ -115,7 +115,7 @@
     work: int = 0
 
 
-Message = Question | Grant | Held
+Message = Question | Grant | InFlightReport
 
 
 def encode(*, message: Message) -> bytes:
@@ -151,7 +151,7 @@
                     message.work,
                 ]
             )
-        case Held():
+        case InFlightReport():
             return orjson.dumps([REPORT_KIND, _held_fields(message)])
 
 
@@ -221,7 +221,7 @@
     return None if field is None else EndpointId(str(field))
 
 
-def _held_fields(held: Held) -> list[Any]:
+def _held_fields(held: InFlightReport) -> list[Any]:
     return [
         held.router,
         held.incarnation,
@@ -231,9 +231,9 @@
     ]
 
 
-def _held(fields: Any) -> Held:
+def _held(fields: Any) -> InFlightReport:
     router, incarnation, sequence, loads, numbers = fields
-    return Held(
+    return InFlightReport(
         router=RouterId(str(router)),
         incarnation=int(incarnation),
         sequence=int(sequence),
--- a/dotterelpaddle/owners/owner.py
+++ b/dotterelpaddle/owners/owner.py
@@ -22,7 +22,7 @@
     from dotterelpaddle.forwarding.view import FleetView
     from dotterelpaddle.ids import EndpointId, FailureDomain, RouterId
     from dotterelpaddle.owners.counts import ShardCounts
-    from dotterelpaddle.owners.messages import Held, Question, Wanted
+    from dotterelpaddle.owners.messages import InFlightReport, Question, Wanted
     from dotterelpaddle.owners.shards import ShardMap
 
 log = get_logger(name=__name__)
@@ -60,7 +60,7 @@
         self._loads = loads
         self._counts = counts
 
-    def hear(self, *, held: Held) -> None:
+    def hear(self, *, held: InFlightReport) -> None:
         """Take in what a router has in flight; its own this one knows."""
         if held.router != self._router:
             self._counts.record_report(held=held)
--- a/dotterelpaddle/owners/telling.py
+++ b/dotterelpaddle/owners/telling.py
@@ -10,7 +10,7 @@
 import anyio
 
 from dotterelpaddle.owners.counts import REPORT_INTERVAL_SECONDS
-from dotterelpaddle.owners.messages import Grant, Held
+from dotterelpaddle.owners.messages import Grant, InFlightReport
 
 if TYPE_CHECKING:
     from dotterelpaddle.clock import Clock
@@ -90,7 +90,7 @@
         }
         return {domain for domain in domains if domain is not None}
 
-    def held(self, *, domain: FailureDomain) -> Held:
+    def held(self, *, domain: FailureDomain) -> InFlightReport:
         """Tell who decides for a failure domain all that is in flight.
 
         What is in flight elsewhere is told as well, a handful of requests: an owner
@@ -100,7 +100,7 @@
         self._told_at[domain] = self._clock()
         loads = Counter(self._loads.own)
         loads.update(self._granted)
-        return Held(
+        return InFlightReport(
             router=self._router,
             incarnation=self._incarnation,
             sequence=self._sequence,
--- a/dotterelpaddle/tests/owners/test_counts.py
+++ b/dotterelpaddle/tests/owners/test_counts.py
@@ -9,7 +9,13 @@
 from hypothesis.stateful import RuleBasedStateMachine, invariant, rule
 
 from dotterelpaddle.owners.counts import REPORT_INTERVAL_SECONDS, REPORT_TTL_SECONDS
-from dotterelpaddle.owners.messages import Grant, Held, Question, decode, encode
+from dotterelpaddle.owners.messages import (
+    Grant,
+    InFlightReport,
+    Question,
+    decode,
+    encode,
+)
 from dotterelpaddle.tests.owners.world import AskingRouter, World, total
 
 if TYPE_CHECKING:
@@ -68,7 +74,7 @@
         if isinstance(message, Question):
             grant = self.world.owner.answer(question=message)
             self.to_router.append((index, encode(message=grant)))
-        elif isinstance(message, Held):
+        elif isinstance(message, InFlightReport):
             self.world.owner.hear(held=message)
 
     @rule(place=st.integers(min_value=0))
@@ -112,9 +118,9 @@
         assert Counter(self.world.counts.loads) == total(self.routers)
 
 
-def decode_held(router: AskingRouter) -> Held:
+def decode_held(router: AskingRouter) -> InFlightReport:
     held = decode(datagram=encode(message=router.held()))
-    assert isinstance(held, Held)
+    assert isinstance(held, InFlightReport)
     return held
 
 
--- a/dotterelpaddle/tests/owners/test_messages.py
+++ b/dotterelpaddle/tests/owners/test_messages.py
@@ -17,7 +17,7 @@
 from dotterelpaddle.owners.messages import (
     DATAGRAM_PREFIX,
     Grant,
-    Held,
+    InFlightReport,
     Message,
     Question,
     Wanted,
@@ -26,7 +26,7 @@
 )
 
 A, B = EndpointId("a@17"), EndpointId("b")
-HELD = Held(
+HELD = InFlightReport(
     router=RouterId("router-1"),
     incarnation=7,
     sequence=12,
--- a/dotterelpaddle/tests/owners/world.py
+++ b/dotterelpaddle/tests/owners/world.py
@@ -37,7 +37,7 @@
 
 if TYPE_CHECKING:
     from dotterelpaddle.forwarding.interface import ForwardRequest
-    from dotterelpaddle.owners.messages import Grant, Held
+    from dotterelpaddle.owners.messages import Grant, InFlightReport
     from dotterelpaddle.owners.telling import OpenQuestion
 
 HERE, THERE = FailureDomain("here"), FailureDomain("there")
@@ -118,7 +118,7 @@
         )
         self.in_flight: list[ExitStack] = []
 
-    def held(self) -> Held:
+    def held(self) -> InFlightReport:
         return self.requests.held(domain=HERE)
 
     def question(
