--- a/dotterelpaddle/owners/counts.py
+++ b/dotterelpaddle/owners/counts.py
@@ -81,7 +81,7 @@
         self._add(known.report.loads, -1)
         self._add(held.loads, 1)
         known.report, known.received_at = held, now
-        for number in [each for each in known.granted if each not in held.open]:
+        for number in [each for each in known.granted if each not in held.pending]:
             self._change(known.granted.pop(number), -1)
 
     def record_grant(
@@ -90,7 +90,11 @@
         """Count a request that was granted to a router which asked just now."""
         known = self._routers.get(held.router)
         # A later message may have overtaken the question and given it up.
-        if known is None or number not in known.report.open or number in known.granted:
+        if (
+            known is None
+            or number not in known.report.pending
+            or number in known.granted
+        ):
             return
         known.granted[number] = endpoint
         self._change(endpoint, 1)
--- a/dotterelpaddle/owners/messages.py
+++ b/dotterelpaddle/owners/messages.py
@@ -39,14 +39,14 @@
         incarnation: Number of its process.
         sequence: Grows with each of its messages.
         loads: Requests in flight, by endpoint, those granted just now included.
-        open: Numbers of its questions that have no answer yet.
+        pending: Numbers of its questions that have no answer yet.
     """
 
     router: RouterId
     incarnation: int
     sequence: int
     loads: Mapping[EndpointId, int] = field(default_factory=dict)
-    open: frozenset[int] = frozenset()
+    pending: frozenset[int] = frozenset()
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
@@ -227,7 +227,7 @@
         held.incarnation,
         held.sequence,
         dict(held.loads),
-        sorted(held.open),
+        sorted(held.pending),
     ]
 
 
@@ -238,5 +238,5 @@
         incarnation=int(incarnation),
         sequence=int(sequence),
         loads={EndpointId(str(name)): int(load) for name, load in loads.items()},
-        open=frozenset(int(number) for number in numbers),
+        pending=frozenset(int(number) for number in numbers),
     )
--- a/dotterelpaddle/owners/telling.py
+++ b/dotterelpaddle/owners/telling.py
@@ -105,7 +105,7 @@
             incarnation=self._incarnation,
             sequence=self._sequence,
             loads=loads,
-            open=frozenset(self._open),
+            pending=frozenset(self._open),
         )
 
     def open(self, *, owner: RouterId) -> OpenQuestion:
--- a/dotterelpaddle/tests/owners/test_messages.py
+++ b/dotterelpaddle/tests/owners/test_messages.py
@@ -31,7 +31,7 @@
     incarnation=7,
     sequence=12,
     loads={A: 2, B: 1},
-    open=frozenset({3, 4}),
+    pending=frozenset({3, 4}),
 )
 WANTED = Wanted(
     service=ServiceName("engines"),
