--- a/dotterelpaddle/owners/asking.py
+++ b/dotterelpaddle/owners/asking.py
@@ -24,7 +24,7 @@
     from dotterelpaddle.address import Address
     from dotterelpaddle.clock import Clock
     from dotterelpaddle.ids import FailureDomain, RouterId
-    from dotterelpaddle.owners.messages import Wanted
+    from dotterelpaddle.owners.messages import PlacementQuery
     from dotterelpaddle.owners.owner import Owner
     from dotterelpaddle.owners.telling import OpenQuestion, OwnRequests
     from dotterelpaddle.peers.datagrams import DatagramSocket
@@ -98,7 +98,7 @@
             await self._tell(self._requests.take_due())
 
     async def request_grant(
-        self, *, domain: FailureDomain, wanted: Wanted
+        self, *, domain: FailureDomain, wanted: PlacementQuery
     ) -> OpenQuestion | None:
         """Ask for an endpoint: the owner of a failure domain, or who stands in for it.
 
@@ -120,7 +120,7 @@
         return None
 
     async def _ask_one(
-        self, *, owner: PeerInfo, domain: FailureDomain, wanted: Wanted
+        self, *, owner: PeerInfo, domain: FailureDomain, wanted: PlacementQuery
     ) -> OpenQuestion | None:
         asked = self._requests.open(owner=owner.router)
         try:
--- a/dotterelpaddle/owners/messages.py
+++ b/dotterelpaddle/owners/messages.py
@@ -50,7 +50,7 @@
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
-class Wanted:
+class PlacementQuery:
     """What an endpoint is wanted for; a placer reads it like a request.
 
     Attributes:
@@ -86,7 +86,7 @@
 
     number: int
     held: InFlightReport
-    wanted: Wanted
+    wanted: PlacementQuery
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
@@ -187,9 +187,9 @@
     )
 
 
-def _wanted(fields: Any) -> Wanted:
+def _wanted(fields: Any) -> PlacementQuery:
     service, shard, model, prompt, repeatable, excluded, must, cached_at = fields
-    return Wanted(
+    return PlacementQuery(
         service=ServiceName(str(service)),
         shard=None if shard is None else FailureDomain(str(shard)),
         model=ModelId(str(model)),
--- a/dotterelpaddle/owners/owner.py
+++ b/dotterelpaddle/owners/owner.py
@@ -22,7 +22,7 @@
     from dotterelpaddle.forwarding.view import FleetView
     from dotterelpaddle.ids import EndpointId, FailureDomain, RouterId
     from dotterelpaddle.owners.counts import ShardCounts
-    from dotterelpaddle.owners.messages import InFlightReport, Question, Wanted
+    from dotterelpaddle.owners.messages import InFlightReport, PlacementQuery, Question
     from dotterelpaddle.owners.shards import ShardMap
 
 log = get_logger(name=__name__)
@@ -102,7 +102,7 @@
             work=choice.work_tokens,
         )
 
-    def _current_loads(self, *, wanted: Wanted) -> Counter[EndpointId]:
+    def _current_loads(self, *, wanted: PlacementQuery) -> Counter[EndpointId]:
         """Counts of the shard as routers tell them here, of the others by reports.
 
         Reports are a few tenths of a second old. The greater count goes while some
--- a/dotterelpaddle/owners/placing.py
+++ b/dotterelpaddle/owners/placing.py
@@ -8,7 +8,7 @@
 from dotterelpaddle.forwarding.caches import part_tag, shared_parts
 from dotterelpaddle.forwarding.choice import Choice, LocalChoiceReason
 from dotterelpaddle.forwarding.cold import Decider
-from dotterelpaddle.owners.messages import Wanted
+from dotterelpaddle.owners.messages import PlacementQuery
 from dotterelpaddle.owners.shards import ranked_shards, shard_entries
 from dotterelpaddle.placement.rendezvous import digest
 
@@ -136,7 +136,7 @@
                 return LocalChoiceReason.NO_OWNER
             answered = await self._exchange.request_grant(
                 domain=domain,
-                wanted=Wanted(
+                wanted=PlacementQuery(
                     service=service,
                     shard=shard,
                     model=request.model,
--- a/dotterelpaddle/tests/owners/test_messages.py
+++ b/dotterelpaddle/tests/owners/test_messages.py
@@ -19,8 +19,8 @@
     Grant,
     InFlightReport,
     Message,
+    PlacementQuery,
     Question,
-    Wanted,
     decode,
     encode,
 )
@@ -33,7 +33,7 @@
     loads={A: 2, B: 1},
     pending=frozenset({3, 4}),
 )
-WANTED = Wanted(
+WANTED = PlacementQuery(
     service=ServiceName("engines"),
     shard=FailureDomain("here"),
     model=ModelId("m"),
--- a/dotterelpaddle/tests/owners/world.py
+++ b/dotterelpaddle/tests/owners/world.py
@@ -25,7 +25,7 @@
     ServiceName,
 )
 from dotterelpaddle.owners.counts import ShardCounts
-from dotterelpaddle.owners.messages import Question, Wanted
+from dotterelpaddle.owners.messages import PlacementQuery, Question
 from dotterelpaddle.owners.owner import Owner
 from dotterelpaddle.owners.shards import ShardMap
 from dotterelpaddle.owners.telling import OwnRequests
@@ -135,7 +135,7 @@
         question = Question(
             number=asked.number,
             held=self.held(),
-            wanted=Wanted(
+            wanted=PlacementQuery(
                 service=SERVICE,
                 shard=shard,
                 model=ModelId("m"),
