--- a/dotterelpaddle/owners/messages.py
+++ b/dotterelpaddle/owners/messages.py
@@ -60,7 +60,7 @@
         prompt: Parts of its prompt, in order; the last is the request's own.
         repeatable: Whether a failure there could be made good elsewhere.
         excluded: Endpoints that can't be chosen.
-        must: Whether an endpoint is to be chosen even if all are over their bound.
+        ignore_bound: Whether an endpoint is to be chosen even if all are over their bound.
         cached_at: Endpoint of another shard that has the shared parts, None if none.
     """
 
@@ -70,7 +70,7 @@
     prompt: tuple[PromptPart, ...]
     repeatable: bool
     excluded: frozenset[EndpointId]
-    must: bool
+    ignore_bound: bool
     cached_at: EndpointId | None = None
 
 
@@ -133,7 +133,7 @@
                     [[part.digest, part.tokens] for part in wanted.prompt],
                     wanted.repeatable,
                     sorted(wanted.excluded),
-                    wanted.must,
+                    wanted.ignore_bound,
                     wanted.cached_at,
                 ]
             )
@@ -198,7 +198,7 @@
         ),
         repeatable=bool(repeatable),
         excluded=frozenset(EndpointId(str(each)) for each in excluded),
-        must=bool(must),
+        ignore_bound=bool(must),
         cached_at=_endpoint(cached_at),
     )
 
--- a/dotterelpaddle/owners/owner.py
+++ b/dotterelpaddle/owners/owner.py
@@ -77,7 +77,7 @@
                 repeatable=wanted.repeatable,
                 excluded=wanted.excluded,
                 loads=self._current_loads(wanted=wanted),
-                must=wanted.must,
+                must=wanted.ignore_bound,
                 cached_at=wanted.cached_at,
             )
         except NoEndpoint as error:
--- a/dotterelpaddle/owners/placing.py
+++ b/dotterelpaddle/owners/placing.py
@@ -143,7 +143,7 @@
                     prompt=request.prompt,
                     repeatable=repeatable,
                     excluded=unusable,
-                    must=shard == ranked[-1],
+                    ignore_bound=shard == ranked[-1],
                     cached_at=cached_at,
                 ),
             )
--- a/dotterelpaddle/tests/owners/test_messages.py
+++ b/dotterelpaddle/tests/owners/test_messages.py
@@ -40,7 +40,7 @@
     prompt=(PromptPart(digest="5c1e", tokens=800), PromptPart(digest="e4", tokens=20)),
     repeatable=True,
     excluded=frozenset({B}),
-    must=False,
+    ignore_bound=False,
     cached_at=A,
 )
 
--- a/dotterelpaddle/tests/owners/world.py
+++ b/dotterelpaddle/tests/owners/world.py
@@ -142,7 +142,7 @@
                 prompt=request.prompt,
                 repeatable=True,
                 excluded=excluded,
-                must=must,
+                ignore_bound=must,
                 cached_at=cached_at,
             ),
         )
