--- a/dotterelpaddle/owners/asking.py
+++ b/dotterelpaddle/owners/asking.py
@@ -11,8 +11,8 @@
 from dotterelpaddle.owners.counts import REPORT_INTERVAL_SECONDS
 from dotterelpaddle.owners.messages import (
     Grant,
+    GrantRequest,
     InFlightReport,
-    Question,
     decode,
     encode,
 )
@@ -124,7 +124,7 @@
     ) -> OpenQuestion | None:
         asked = self._requests.open(owner=owner.router)
         try:
-            question = Question(
+            question = GrantRequest(
                 number=asked.number,
                 held=self._requests.held(domain=domain),
                 wanted=wanted,
@@ -153,7 +153,7 @@
             log.warning("message_dropped", peer=str(address), cause=error.message)
             return
         match message:
-            case Question():
+            case GrantRequest():
                 grant = self._owner.answer(question=message)
                 await self._send(encode(message=grant), address)
             case Grant():
--- a/dotterelpaddle/owners/messages.py
+++ b/dotterelpaddle/owners/messages.py
@@ -75,7 +75,7 @@
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
-class Question:
+class GrantRequest:
     """Asks where a request should go.
 
     Attributes:
@@ -115,13 +115,13 @@
     work: int = 0
 
 
-Message = Question | Grant | InFlightReport
+Message = GrantRequest | Grant | InFlightReport
 
 
 def encode(*, message: Message) -> bytes:
     """Turn a message into a datagram."""
     match message:
-        case Question(number=number, held=held, wanted=wanted):
+        case GrantRequest(number=number, held=held, wanted=wanted):
             return orjson.dumps(
                 [
                     GRANT_REQUEST_KIND,
@@ -181,8 +181,8 @@
     raise ControlError(f"a message of unknown kind {fields[0]!r}")
 
 
-def _question(fields: Any) -> Question:
-    return Question(
+def _question(fields: Any) -> GrantRequest:
+    return GrantRequest(
         number=int(fields[1]), held=_held(fields[2]), wanted=_wanted(fields[3:])
     )
 
--- a/dotterelpaddle/owners/owner.py
+++ b/dotterelpaddle/owners/owner.py
@@ -22,7 +22,11 @@
     from dotterelpaddle.forwarding.view import FleetView
     from dotterelpaddle.ids import EndpointId, FailureDomain, RouterId
     from dotterelpaddle.owners.counts import ShardCounts
-    from dotterelpaddle.owners.messages import InFlightReport, PlacementQuery, Question
+    from dotterelpaddle.owners.messages import (
+        GrantRequest,
+        InFlightReport,
+        PlacementQuery,
+    )
     from dotterelpaddle.owners.shards import ShardMap
 
 log = get_logger(name=__name__)
@@ -65,7 +69,7 @@
         if held.router != self._router:
             self._counts.record_report(held=held)
 
-    def answer(self, *, question: Question) -> Grant:
+    def answer(self, *, question: GrantRequest) -> Grant:
         """Decide where a request goes, and count it there."""
         self.hear(held=question.held)
         wanted = question.wanted
--- a/dotterelpaddle/tests/owners/test_counts.py
+++ b/dotterelpaddle/tests/owners/test_counts.py
@@ -11,8 +11,8 @@
 from dotterelpaddle.owners.counts import REPORT_INTERVAL_SECONDS, REPORT_TTL_SECONDS
 from dotterelpaddle.owners.messages import (
     Grant,
+    GrantRequest,
     InFlightReport,
-    Question,
     decode,
     encode,
 )
@@ -71,7 +71,7 @@
         if not twice:
             del self.to_owner[place]
         message = decode(datagram=datagram)
-        if isinstance(message, Question):
+        if isinstance(message, GrantRequest):
             grant = self.world.owner.answer(question=message)
             self.to_router.append((index, encode(message=grant)))
         elif isinstance(message, InFlightReport):
--- a/dotterelpaddle/tests/owners/test_messages.py
+++ b/dotterelpaddle/tests/owners/test_messages.py
@@ -17,10 +17,10 @@
 from dotterelpaddle.owners.messages import (
     DATAGRAM_PREFIX,
     Grant,
+    GrantRequest,
     InFlightReport,
     Message,
     PlacementQuery,
-    Question,
     decode,
     encode,
 )
@@ -49,7 +49,7 @@
     "message",
     [
         HELD,
-        Question(number=4, held=HELD, wanted=WANTED),
+        GrantRequest(number=4, held=HELD, wanted=WANTED),
         Grant(number=4),
         Grant(
             number=4,
--- a/dotterelpaddle/tests/owners/test_routers.py
+++ b/dotterelpaddle/tests/owners/test_routers.py
@@ -13,7 +13,7 @@
 
 if TYPE_CHECKING:
     from dotterelpaddle.ids import RouterId
-    from dotterelpaddle.owners.messages import Question
+    from dotterelpaddle.owners.messages import GrantRequest
 
 pytestmark = pytest.mark.anyio
 
@@ -31,7 +31,7 @@
     """Records what an owner hears, and may keep it from answering."""
 
     def __init__(self, *, fleet: Fleet, place: int) -> None:
-        self.questions: list[Question] = []
+        self.questions: list[GrantRequest] = []
         self.answers = True
         owner = fleet.routers[place].parts.owners
         receive = owner.receive
@@ -42,7 +42,7 @@
 
         answer = owner._owner.answer
 
-        def _answer(*, question: Question):
+        def _answer(*, question: GrantRequest):
             self.questions.append(question)
             return answer(question=question)
 
--- a/dotterelpaddle/tests/owners/world.py
+++ b/dotterelpaddle/tests/owners/world.py
@@ -25,7 +25,7 @@
     ServiceName,
 )
 from dotterelpaddle.owners.counts import ShardCounts
-from dotterelpaddle.owners.messages import PlacementQuery, Question
+from dotterelpaddle.owners.messages import GrantRequest, PlacementQuery
 from dotterelpaddle.owners.owner import Owner
 from dotterelpaddle.owners.shards import ShardMap
 from dotterelpaddle.owners.telling import OwnRequests
@@ -129,10 +129,10 @@
         shard: FailureDomain = HERE,
         excluded: frozenset[EndpointId] = frozenset(),
         cached_at: EndpointId | None = None,
-    ) -> tuple[OpenQuestion, Question]:
+    ) -> tuple[OpenQuestion, GrantRequest]:
         """Begin a question."""
         asked = self.requests.open(owner=RouterId("owner"))
-        question = Question(
+        question = GrantRequest(
             number=asked.number,
             held=self.held(),
             wanted=PlacementQuery(
