--- a/dotterelpaddle/owners/asking.py
+++ b/dotterelpaddle/owners/asking.py
@@ -126,7 +126,7 @@
         try:
             question = GrantRequest(
                 number=asked.number,
-                held=self._requests.held(domain=domain),
+                report=self._requests.held(domain=domain),
                 wanted=wanted,
             )
             if owner.router == self._directory.own.router:
--- a/dotterelpaddle/owners/messages.py
+++ b/dotterelpaddle/owners/messages.py
@@ -80,12 +80,12 @@
 
     Attributes:
         number: Names the question to its sender.
-        held: What the sender has in flight.
+        report: What the sender has in flight.
         wanted: What the endpoint is wanted for.
     """
 
     number: int
-    held: InFlightReport
+    report: InFlightReport
     wanted: PlacementQuery
 
 
@@ -121,7 +121,7 @@
 def encode(*, message: Message) -> bytes:
     """Turn a message into a datagram."""
     match message:
-        case GrantRequest(number=number, held=held, wanted=wanted):
+        case GrantRequest(number=number, report=held, wanted=wanted):
             return orjson.dumps(
                 [
                     GRANT_REQUEST_KIND,
@@ -183,7 +183,7 @@
 
 def _question(fields: Any) -> GrantRequest:
     return GrantRequest(
-        number=int(fields[1]), held=_held(fields[2]), wanted=_wanted(fields[3:])
+        number=int(fields[1]), report=_held(fields[2]), wanted=_wanted(fields[3:])
     )
 
 
--- a/dotterelpaddle/owners/owner.py
+++ b/dotterelpaddle/owners/owner.py
@@ -71,7 +71,7 @@
 
     def answer(self, *, question: GrantRequest) -> Grant:
         """Decide where a request goes, and count it there."""
-        self.hear(held=question.held)
+        self.hear(held=question.report)
         wanted = question.wanted
         try:
             choice = self._placer.choose_in_shard(
@@ -85,14 +85,16 @@
                 cached_at=wanted.cached_at,
             )
         except NoEndpoint as error:
-            log.info("grant_refused", router=question.held.router, cause=error.message)
+            log.info(
+                "grant_refused", router=question.report.router, cause=error.message
+            )
             return Grant(number=question.number)
         if choice is None:
             holder = self._placer.cache_holder(service=wanted.service, request=wanted)
             return Grant(number=question.number, fetch_from=holder)
         endpoint = choice.entry.endpoint
         self._counts.record_grant(
-            held=question.held, number=question.number, endpoint=endpoint
+            held=question.report, number=question.number, endpoint=endpoint
         )
         source = choice.fetch_from
         return Grant(
--- a/dotterelpaddle/tests/owners/test_routers.py
+++ b/dotterelpaddle/tests/owners/test_routers.py
@@ -73,7 +73,7 @@
         answer = await fleet.call("/unsafe/", router=ASKING)
 
     assert answer.status == 200
-    assert [question.held.router for question in heard.questions] == ["router-4"]
+    assert [question.report.router for question in heard.questions] == ["router-4"]
 
 
 async def test_requests_of_all_routers_are_spread_exactly() -> None:
--- a/dotterelpaddle/tests/owners/world.py
+++ b/dotterelpaddle/tests/owners/world.py
@@ -134,7 +134,7 @@
         asked = self.requests.open(owner=RouterId("owner"))
         question = GrantRequest(
             number=asked.number,
-            held=self.held(),
+            report=self.held(),
             wanted=PlacementQuery(
                 service=SERVICE,
                 shard=shard,
