--- a/dotterelpaddle/owners/asking.py
+++ b/dotterelpaddle/owners/asking.py
@@ -127,7 +127,7 @@
             question = GrantRequest(
                 number=asked.number,
                 report=self._requests.held(domain=domain),
-                wanted=wanted,
+                query=wanted,
             )
             if owner.router == self._directory.own.router:
                 self._requests.answered(grant=self._owner.answer(question=question))
--- a/dotterelpaddle/owners/messages.py
+++ b/dotterelpaddle/owners/messages.py
@@ -81,12 +81,12 @@
     Attributes:
         number: Names the question to its sender.
         report: What the sender has in flight.
-        wanted: What the endpoint is wanted for.
+        query: What the endpoint is wanted for.
     """
 
     number: int
     report: InFlightReport
-    wanted: PlacementQuery
+    query: PlacementQuery
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
@@ -121,7 +121,7 @@
 def encode(*, message: Message) -> bytes:
     """Turn a message into a datagram."""
     match message:
-        case GrantRequest(number=number, report=held, wanted=wanted):
+        case GrantRequest(number=number, report=held, query=wanted):
             return orjson.dumps(
                 [
                     GRANT_REQUEST_KIND,
@@ -183,7 +183,7 @@
 
 def _question(fields: Any) -> GrantRequest:
     return GrantRequest(
-        number=int(fields[1]), report=_held(fields[2]), wanted=_wanted(fields[3:])
+        number=int(fields[1]), report=_held(fields[2]), query=_wanted(fields[3:])
     )
 
 
--- a/dotterelpaddle/owners/owner.py
+++ b/dotterelpaddle/owners/owner.py
@@ -72,7 +72,7 @@
     def answer(self, *, question: GrantRequest) -> Grant:
         """Decide where a request goes, and count it there."""
         self.hear(held=question.report)
-        wanted = question.wanted
+        wanted = question.query
         try:
             choice = self._placer.choose_in_shard(
                 service=wanted.service,
--- a/dotterelpaddle/tests/owners/test_messages.py
+++ b/dotterelpaddle/tests/owners/test_messages.py
@@ -49,7 +49,7 @@
     "message",
     [
         HELD,
-        GrantRequest(number=4, report=HELD, wanted=WANTED),
+        GrantRequest(number=4, report=HELD, query=WANTED),
         Grant(number=4),
         Grant(
             number=4,
--- a/dotterelpaddle/tests/owners/test_routers.py
+++ b/dotterelpaddle/tests/owners/test_routers.py
@@ -130,4 +130,4 @@
 
     assert answer.status == 200
     assert not fleet.runners["runner-1"].runs
-    assert [question.wanted.excluded for question in heard.questions] == [{leaving}]
+    assert [question.query.excluded for question in heard.questions] == [{leaving}]
--- a/dotterelpaddle/tests/owners/world.py
+++ b/dotterelpaddle/tests/owners/world.py
@@ -135,7 +135,7 @@
         question = GrantRequest(
             number=asked.number,
             report=self.held(),
-            wanted=PlacementQuery(
+            query=PlacementQuery(
                 service=SERVICE,
                 shard=shard,
                 model=ModelId("m"),
