--- a/dotterelpaddle/owners/asking.py
+++ b/dotterelpaddle/owners/asking.py
@@ -159,7 +159,7 @@
             case Grant():
                 self._requests.answered(grant=message)
             case InFlightReport():
-                self._owner.hear(held=message)
+                self._owner.record_report(held=message)
 
     def _is_silent(self, owner: PeerInfo) -> bool:
         return self._clock() < self._silent_until.get(owner.router, 0.0)
--- a/dotterelpaddle/owners/owner.py
+++ b/dotterelpaddle/owners/owner.py
@@ -64,14 +64,14 @@
         self._loads = loads
         self._counts = counts
 
-    def hear(self, *, held: InFlightReport) -> None:
+    def record_report(self, *, held: InFlightReport) -> None:
         """Take in what a router has in flight; its own this one knows."""
         if held.router != self._router:
             self._counts.record_report(held=held)
 
     def answer(self, *, question: GrantRequest) -> Grant:
         """Decide where a request goes, and count it there."""
-        self.hear(held=question.report)
+        self.record_report(held=question.report)
         wanted = question.query
         try:
             choice = self._placer.choose_in_shard(
--- a/dotterelpaddle/tests/owners/test_counts.py
+++ b/dotterelpaddle/tests/owners/test_counts.py
@@ -75,7 +75,7 @@
             grant = self.world.owner.answer(question=message)
             self.to_router.append((index, encode(message=grant)))
         elif isinstance(message, InFlightReport):
-            self.world.owner.hear(held=message)
+            self.world.owner.record_report(held=message)
 
     @rule(place=st.integers(min_value=0))
     def deliver_to_router(self, place: int) -> None:
@@ -114,7 +114,7 @@
         for key in list(self.open):
             self.routers[key[0]].requests.give_up(question=self.open.pop(key))
         for router in self.routers:
-            self.world.owner.hear(held=decode_held(router))
+            self.world.owner.record_report(held=decode_held(router))
         assert Counter(self.world.counts.loads) == total(self.routers)
 
 
@@ -135,7 +135,7 @@
     grant = world.owner.answer(question=question)
     before = Counter(world.counts.loads)
     router.take_in(asked=asked, grant=grant)
-    world.owner.hear(held=router.held())
+    world.owner.record_report(held=router.held())
 
     assert before == Counter(world.counts.loads) == Counter([grant.endpoint])
 
@@ -153,9 +153,9 @@
 def test_counts_settle_after_all_had_time_to_tell() -> None:
     world = World()
     router = AskingRouter(name="router", world=world)
-    world.owner.hear(held=router.held())
+    world.owner.record_report(held=router.held())
     world.now += REPORT_INTERVAL_SECONDS
-    world.owner.hear(held=router.held())
+    world.owner.record_report(held=router.held())
     soon = world.counts.warmed_up
     world.now += REPORT_TTL_SECONDS
     later = world.counts.warmed_up
@@ -168,7 +168,7 @@
     router = AskingRouter(name="router", world=world)
     early = router.held()
     router.begin(endpoint=world.endpoints[0])
-    world.owner.hear(held=router.held())
-    world.owner.hear(held=early)
+    world.owner.record_report(held=router.held())
+    world.owner.record_report(held=early)
 
     assert Counter(world.counts.loads) == Counter([world.endpoints[0]])
--- a/dotterelpaddle/tests/owners/test_owner.py
+++ b/dotterelpaddle/tests/owners/test_owner.py
@@ -37,7 +37,7 @@
     until = world.now + REPORT_TTL_SECONDS
     while world.now < until:
         for router in routers:
-            world.owner.hear(held=router.held())
+            world.owner.record_report(held=router.held())
         world.now += REPORT_INTERVAL_SECONDS
 
 
@@ -84,7 +84,7 @@
             last.begin(endpoint=endpoint)
     for _ in range(5):
         last.begin(endpoint=world.endpoints[0])
-    world.owner.hear(held=last.held())
+    world.owner.record_report(held=last.held())
 
     asked, question = last.question(must=True)
     granted = world.owner.answer(question=question)
@@ -108,7 +108,7 @@
         _ask(world, router)
     world.restart_owner()
     for router in routers[:6]:
-        world.owner.hear(held=router.held())
+        world.owner.record_report(held=router.held())
     assert not world.counts.warmed_up
     _settle(world, routers)
     assert world.counts.warmed_up
