--- a/dotterelpaddle/owners/asking.py
+++ b/dotterelpaddle/owners/asking.py
@@ -130,7 +130,7 @@
                 query=wanted,
             )
             if owner.router == self._directory.own.router:
-                self._requests.answered(grant=self._owner.answer(question=question))
+                self._requests.answered(grant=self._owner.decide(question=question))
                 return asked
             await self._send(encode(message=question), owner.address)
             with anyio.move_on_after(OWNER_TIMEOUT_SECONDS):
@@ -154,7 +154,7 @@
             return
         match message:
             case GrantRequest():
-                grant = self._owner.answer(question=message)
+                grant = self._owner.decide(question=message)
                 await self._send(encode(message=grant), address)
             case Grant():
                 self._requests.answered(grant=message)
--- a/dotterelpaddle/owners/owner.py
+++ b/dotterelpaddle/owners/owner.py
@@ -69,7 +69,7 @@
         if held.router != self._router:
             self._counts.record_report(held=held)
 
-    def answer(self, *, question: GrantRequest) -> Grant:
+    def decide(self, *, question: GrantRequest) -> Grant:
         """Decide where a request goes, and count it there."""
         self.record_report(held=question.report)
         wanted = question.query
--- a/dotterelpaddle/tests/owners/test_counts.py
+++ b/dotterelpaddle/tests/owners/test_counts.py
@@ -72,7 +72,7 @@
             del self.to_owner[place]
         message = decode(datagram=datagram)
         if isinstance(message, GrantRequest):
-            grant = self.world.owner.answer(question=message)
+            grant = self.world.owner.decide(question=message)
             self.to_router.append((index, encode(message=grant)))
         elif isinstance(message, InFlightReport):
             self.world.owner.record_report(held=message)
@@ -132,7 +132,7 @@
     world = World()
     router = AskingRouter(name="router", world=world)
     asked, question = router.question()
-    grant = world.owner.answer(question=question)
+    grant = world.owner.decide(question=question)
     before = Counter(world.counts.loads)
     router.take_in(asked=asked, grant=grant)
     world.owner.record_report(held=router.held())
@@ -144,8 +144,8 @@
     world = World()
     router = AskingRouter(name="router", world=world)
     _, question = router.question()
-    world.owner.answer(question=question)
-    world.owner.answer(question=question)
+    world.owner.decide(question=question)
+    world.owner.decide(question=question)
 
     assert sum(world.counts.loads.values()) == 1
 
--- a/dotterelpaddle/tests/owners/test_routers.py
+++ b/dotterelpaddle/tests/owners/test_routers.py
@@ -40,14 +40,14 @@
             if self.answers:
                 await receive(datagram=datagram, address=address)  # type: ignore[arg-type]
 
-        answer = owner._owner.answer
+        answer = owner._owner.decide
 
         def _answer(*, question: GrantRequest):
             self.questions.append(question)
             return answer(question=question)
 
         owner.receive = _receive  # type: ignore[method-assign]
-        owner._owner.answer = _answer  # type: ignore[method-assign]
+        owner._owner.decide = _answer  # type: ignore[method-assign]
 
 
 async def _start(fleet: Fleet) -> Heard:
