--- a/dotterelpaddle/owners/placing.py
+++ b/dotterelpaddle/owners/placing.py
@@ -26,7 +26,7 @@
     from dotterelpaddle.owners.telling import OwnRequests
     from dotterelpaddle.peers.directory import PeerDirectory
 
-MOST_ASKED = 2
+MAX_SHARDS_ASKED = 2
 """Shards that are asked for: the second one when all endpoints of the first one are
 over their bound."""
 
@@ -128,7 +128,7 @@
             shards=self._shards.shards(service=service),
             entries=usable,
             key=_key(service=service, request=request),
-        )[:MOST_ASKED]
+        )[:MAX_SHARDS_ASKED]
         cached_at: EndpointId | None = None
         for shard in ranked:
             domain = self._owning_domain(entries=usable, shard=shard)
