--- a/dotterelpaddle/owners/placing.py
+++ b/dotterelpaddle/owners/placing.py
@@ -30,7 +30,7 @@
 """Shards that are asked for: the second one when all endpoints of the first one are
 over their bound."""
 
-LEAST_TO_CHOOSE = 2
+MIN_CANDIDATES = 2
 """Endpoints below which there is nothing to decide."""
 
 
@@ -116,7 +116,7 @@
         usable = self._placer.candidates.usable(
             service=service, request=request, excluded=excluded
         )
-        if len(usable) < LEAST_TO_CHOOSE:
+        if len(usable) < MIN_CANDIDATES:
             return LocalChoiceReason.FEW_ENDPOINTS
         names = frozenset(entry.endpoint for entry in usable)
         unusable = frozenset(
