--- a/dotterelpaddle/forwarding/attempts.py
+++ b/dotterelpaddle/forwarding/attempts.py
@@ -44,7 +44,7 @@
     from dotterelpaddle.forwarding.residency import ResidencyPolicy
     from dotterelpaddle.forwarding.waits import TimeoutEstimator
     from dotterelpaddle.ids import EndpointId
-    from dotterelpaddle.owners.placing import OwnersPlacer
+    from dotterelpaddle.owners.placing import OwnerPlacer
 
 log = get_logger(name=__name__)
 
@@ -79,7 +79,7 @@
     def __init__(
         self,
         *,
-        placer: OwnersPlacer,
+        placer: OwnerPlacer,
         residency: ResidencyPolicy,
         loads: LoadTracker,
         health: HealthTracker,
--- a/dotterelpaddle/forwarding/parts.py
+++ b/dotterelpaddle/forwarding/parts.py
@@ -39,7 +39,7 @@
 from dotterelpaddle.owners.asking import OwnerExchange
 from dotterelpaddle.owners.counts import ShardCounts
 from dotterelpaddle.owners.owner import Owner
-from dotterelpaddle.owners.placing import OwnersPlacer
+from dotterelpaddle.owners.placing import OwnerPlacer
 from dotterelpaddle.owners.shards import ShardMap
 from dotterelpaddle.owners.telling import OwnRequests
 from dotterelpaddle.peers.cache_lists import CacheDiscovery
@@ -136,7 +136,7 @@
 
     state: SharedState
     app: ForwardApp
-    placer: OwnersPlacer
+    placer: OwnerPlacer
     client: ForwardClient
     follower: Follower
     reachability: Reachability
@@ -239,7 +239,7 @@
         ),
         clock=clock,
     )
-    owners_placer = OwnersPlacer(
+    owners_placer = OwnerPlacer(
         view=knowledge.view,
         placer=placer,
         shards=shards,
--- a/dotterelpaddle/owners/placing.py
+++ b/dotterelpaddle/owners/placing.py
@@ -34,7 +34,7 @@
 """Endpoints below which there is nothing to decide."""
 
 
-class OwnersPlacer:
+class OwnerPlacer:
     """Lets the owner of a shard choose; where it does not answer, chooses itself.
 
     Args:
