--- a/dotterelpaddle/owners/shards.py
+++ b/dotterelpaddle/owners/shards.py
@@ -14,7 +14,7 @@
     from dotterelpaddle.forwarding.view import FleetView
     from dotterelpaddle.ids import EndpointId, FailureDomain, ServiceName
 
-LEAST_IN_SHARD = 4
+MIN_ENDPOINTS_PER_SHARD = 4
 """Endpoints of a service in each failure domain from which each domain has a shard of
 its own: with fewer there is little to choose from, and one owner counts them all."""
 
@@ -30,7 +30,7 @@
         entries: Its endpoints that take work.
     """
     domains = {entry.failure_domain for entry in entries}
-    if len(entries) < LEAST_IN_SHARD * len(domains):
+    if len(entries) < MIN_ENDPOINTS_PER_SHARD * len(domains):
         return (None,)
     return tuple(sorted(domains))
 
--- a/dotterelpaddle/tests/owners/test_shards.py
+++ b/dotterelpaddle/tests/owners/test_shards.py
@@ -8,7 +8,7 @@
 from dotterelpaddle.forwarding.view import FleetView
 from dotterelpaddle.ids import FailureDomain, Revision, ServiceName
 from dotterelpaddle.owners.shards import (
-    LEAST_IN_SHARD,
+    MIN_ENDPOINTS_PER_SHARD,
     ShardMap,
     owning_domain,
     ranked_shards,
@@ -55,7 +55,9 @@
 def test_service_with_few_endpoints_is_one_shard() -> None:
     entries = _entries(a=1, b=1, c=1)
     assert shards_of(entries=entries) == (None,)
-    assert shards_of(entries=_entries(a=LEAST_IN_SHARD, b=LEAST_IN_SHARD)) == (A, B)
+    assert shards_of(
+        entries=_entries(a=MIN_ENDPOINTS_PER_SHARD, b=MIN_ENDPOINTS_PER_SHARD)
+    ) == (A, B)
 
 
 def test_map_follows_endpoints() -> None:
