--- a/dotterelpaddle/forwarding/homes.py
+++ b/dotterelpaddle/forwarding/homes.py
@@ -5,7 +5,7 @@
 from typing import TYPE_CHECKING
 
 from dotterelpaddle.forwarding.caches import part_tag, shared_parts
-from dotterelpaddle.owners.shards import ranked_shards, shard_entries, shards_of
+from dotterelpaddle.owners.shards import ranked_shards, shard_entries, split_into_shards
 from dotterelpaddle.placement.rendezvous import digest
 
 if TYPE_CHECKING:
@@ -29,7 +29,7 @@
     part = shared_parts(request=request)[-1]
     key = part_tag(model=request.model, part=part)
     if sharded:
-        shards = shards_of(entries=candidates)
+        shards = split_into_shards(entries=candidates)
         first = ranked_shards(shards=shards, entries=candidates, key=key)[0]
         candidates = shard_entries(entries=candidates, shard=first)
     return max(candidates, key=lambda entry: digest(text=f"{key}/{entry.endpoint}"))
--- a/dotterelpaddle/owners/shards.py
+++ b/dotterelpaddle/owners/shards.py
@@ -21,7 +21,7 @@
 _SCALE = 2.0**-64
 
 
-def shards_of(
+def split_into_shards(
     *, entries: Collection[EndpointEntry]
 ) -> tuple[FailureDomain | None, ...]:
     """The shards of a service: its failure domains, or None for all in one.
@@ -111,7 +111,7 @@
         for entry in self._view.entries:
             by_service.setdefault(entry.service, []).append(entry)
         for service, entries in by_service.items():
-            shards = shards_of(entries=entries)
+            shards = split_into_shards(entries=entries)
             self._shards[service] = shards
             domains = {entry.failure_domain for entry in entries}
             alone = owning_domain(service=service, domains=domains)
--- a/dotterelpaddle/tests/owners/test_shards.py
+++ b/dotterelpaddle/tests/owners/test_shards.py
@@ -12,7 +12,7 @@
     ShardMap,
     owning_domain,
     ranked_shards,
-    shards_of,
+    split_into_shards,
 )
 from dotterelpaddle.tests.forwarding.entries import make_entry
 
@@ -29,7 +29,7 @@
 
 
 def _first(entries, keys: int = 2000):
-    shards = shards_of(entries=entries)
+    shards = split_into_shards(entries=entries)
     return [
         ranked_shards(shards=shards, entries=entries, key=key)[0] for key in range(keys)
     ]
@@ -44,7 +44,7 @@
     entries = _entries(a=10, b=10, c=10)
     before = _first(entries)
     usable = [entry for entry in entries if entry.failure_domain != B]
-    shards = shards_of(entries=entries)
+    shards = split_into_shards(entries=entries)
     after = [
         ranked_shards(shards=shards, entries=usable, key=key)[0] for key in range(2000)
     ]
@@ -54,8 +54,8 @@
 
 def test_service_with_few_endpoints_is_one_shard() -> None:
     entries = _entries(a=1, b=1, c=1)
-    assert shards_of(entries=entries) == (None,)
-    assert shards_of(
+    assert split_into_shards(entries=entries) == (None,)
+    assert split_into_shards(
         entries=_entries(a=MIN_ENDPOINTS_PER_SHARD, b=MIN_ENDPOINTS_PER_SHARD)
     ) == (A, B)
 
