--- a/dotterelpaddle/owners/successors.py
+++ b/dotterelpaddle/owners/successors.py
@@ -15,7 +15,7 @@
     from dotterelpaddle.ids import FailureDomain
     from dotterelpaddle.peers.messages import PeerInfo
 
-MOST_TRIED = 3
+MAX_OWNERS_ASKED = 3
 """Owners that may be asked in turn; each silent one costs a caller the wait for it."""
 
 
@@ -33,4 +33,6 @@
     """
     domains = sorted(owners)
     first = bisect.bisect_left(domains, domain)
-    return [owners[each] for each in (domains[first:] + domains[:first])[:MOST_TRIED]]
+    return [
+        owners[each] for each in (domains[first:] + domains[:first])[:MAX_OWNERS_ASKED]
+    ]
--- a/dotterelpaddle/tests/owners/test_successors.py
+++ b/dotterelpaddle/tests/owners/test_successors.py
@@ -4,7 +4,7 @@
 
 from dotterelpaddle.address import Address
 from dotterelpaddle.ids import FailureDomain, RouterId
-from dotterelpaddle.owners.successors import MOST_TRIED, in_charge
+from dotterelpaddle.owners.successors import MAX_OWNERS_ASKED, in_charge
 from dotterelpaddle.peers.messages import PeerInfo
 
 DOMAINS = tuple(FailureDomain(name) for name in "abcde")
@@ -38,5 +38,5 @@
 
 
 def test_few_are_tried() -> None:
-    assert len(in_charge(domain=DOMAINS[0], owners=OWNERS)) == MOST_TRIED
+    assert len(in_charge(domain=DOMAINS[0], owners=OWNERS)) == MAX_OWNERS_ASKED
     assert in_charge(domain=DOMAINS[0], owners={}) == []
