--- a/dotterelpaddle/owners/asking.py
+++ b/dotterelpaddle/owners/asking.py
@@ -16,7 +16,7 @@
     decode,
     encode,
 )
-from dotterelpaddle.owners.successors import in_charge
+from dotterelpaddle.owners.successors import failover_order
 
 if TYPE_CHECKING:
     from collections.abc import Iterator
@@ -111,7 +111,7 @@
             be counted in the turn of the loop in which this returns, or the question
             given up.
         """
-        for owner in in_charge(domain=domain, owners=self._directory.owners()):
+        for owner in failover_order(domain=domain, owners=self._directory.owners()):
             if self._is_silent(owner):
                 continue
             answered = await self._ask_one(owner=owner, domain=domain, wanted=wanted)
@@ -175,7 +175,7 @@
 
     def _counting(self, *, domain: FailureDomain) -> Iterator[PeerInfo]:
         """Those that count for a failure domain: a silent owner may answer others."""
-        for owner in in_charge(domain=domain, owners=self._directory.owners()):
+        for owner in failover_order(domain=domain, owners=self._directory.owners()):
             yield owner
             if not self._is_silent(owner):
                 return
--- a/dotterelpaddle/owners/successors.py
+++ b/dotterelpaddle/owners/successors.py
@@ -19,7 +19,7 @@
 """Owners that may be asked in turn; each silent one costs a caller the wait for it."""
 
 
-def in_charge(
+def failover_order(
     *, domain: FailureDomain, owners: Mapping[FailureDomain, PeerInfo]
 ) -> Sequence[PeerInfo]:
     """The owner of a failure domain, and those that decide there in its place, in turn.
--- a/dotterelpaddle/tests/owners/test_successors.py
+++ b/dotterelpaddle/tests/owners/test_successors.py
@@ -4,7 +4,7 @@
 
 from dotterelpaddle.address import Address
 from dotterelpaddle.ids import FailureDomain, RouterId
-from dotterelpaddle.owners.successors import MAX_OWNERS_ASKED, in_charge
+from dotterelpaddle.owners.successors import MAX_OWNERS_ASKED, failover_order
 from dotterelpaddle.peers.messages import PeerInfo
 
 DOMAINS = tuple(FailureDomain(name) for name in "abcde")
@@ -21,11 +21,11 @@
 
 def test_owner_itself_comes_first() -> None:
     for domain in DOMAINS:
-        assert in_charge(domain=domain, owners=OWNERS)[0] == OWNERS[domain]
+        assert failover_order(domain=domain, owners=OWNERS)[0] == OWNERS[domain]
 
 
 def test_each_owner_stands_in_for_one_other_failure_domain() -> None:
-    successors = [in_charge(domain=domain, owners=OWNERS)[1] for domain in DOMAINS]
+    successors = [failover_order(domain=domain, owners=OWNERS)[1] for domain in DOMAINS]
     assert sorted(each.router for each in successors) == sorted(
         each.router for each in OWNERS.values()
     )
@@ -33,10 +33,10 @@
 
 def test_failure_domain_without_an_owner_has_successors() -> None:
     known = {domain: OWNERS[domain] for domain in DOMAINS if domain != "c"}
-    tried = in_charge(domain=FailureDomain("c"), owners=known)
+    tried = failover_order(domain=FailureDomain("c"), owners=known)
     assert [each.failure_domain for each in tried] == ["d", "e", "a"]
 
 
 def test_few_are_tried() -> None:
-    assert len(in_charge(domain=DOMAINS[0], owners=OWNERS)) == MAX_OWNERS_ASKED
-    assert in_charge(domain=DOMAINS[0], owners={}) == []
+    assert len(failover_order(domain=DOMAINS[0], owners=OWNERS)) == MAX_OWNERS_ASKED
+    assert failover_order(domain=DOMAINS[0], owners={}) == []
