--- a/dotterelpaddle/owners/asking.py
+++ b/dotterelpaddle/owners/asking.py
@@ -26,7 +26,7 @@
     from dotterelpaddle.ids import FailureDomain, RouterId
     from dotterelpaddle.owners.messages import PlacementQuery
     from dotterelpaddle.owners.owner import Owner
-    from dotterelpaddle.owners.telling import OpenQuestion, OwnRequests
+    from dotterelpaddle.owners.telling import OwnRequests, PendingGrant
     from dotterelpaddle.peers.datagrams import DatagramSocket
     from dotterelpaddle.peers.directory import PeerDirectory
     from dotterelpaddle.peers.messages import PeerInfo
@@ -99,7 +99,7 @@
 
     async def request_grant(
         self, *, domain: FailureDomain, wanted: PlacementQuery
-    ) -> OpenQuestion | None:
+    ) -> PendingGrant | None:
         """Ask for an endpoint: the owner of a failure domain, or who stands in for it.
 
         Args:
@@ -121,7 +121,7 @@
 
     async def _ask_one(
         self, *, owner: PeerInfo, domain: FailureDomain, wanted: PlacementQuery
-    ) -> OpenQuestion | None:
+    ) -> PendingGrant | None:
         asked = self._requests.open(owner=owner.router)
         try:
             question = GrantRequest(
--- a/dotterelpaddle/owners/telling.py
+++ b/dotterelpaddle/owners/telling.py
@@ -20,7 +20,7 @@
 
 
 @dataclass(kw_only=True)
-class OpenQuestion:
+class PendingGrant:
     """A question that waits for its answer.
 
     Attributes:
@@ -56,7 +56,7 @@
         self._incarnation = secrets.randbits(32)
         self._sequence = 0
         self._numbers = 0
-        self._open: dict[int, OpenQuestion] = {}
+        self._open: dict[int, PendingGrant] = {}
         self._granted: Counter[EndpointId] = Counter()
         self._untold: set[FailureDomain] = set()
         self._told_at: dict[FailureDomain, float] = {}
@@ -108,10 +108,10 @@
             pending=frozenset(self._open),
         )
 
-    def open(self, *, owner: RouterId) -> OpenQuestion:
+    def open(self, *, owner: RouterId) -> PendingGrant:
         """Begin a question to an owner."""
         self._numbers += 1
-        question = OpenQuestion(number=self._numbers, owner=owner)
+        question = PendingGrant(number=self._numbers, owner=owner)
         self._open[question.number] = question
         return question
 
@@ -125,7 +125,7 @@
             self._granted[grant.endpoint] += 1
         question.answered.set()
 
-    def give_up(self, *, question: OpenQuestion) -> None:
+    def give_up(self, *, question: PendingGrant) -> None:
         """Forget a question, or the answer to it that nobody uses."""
         self._open.pop(question.number, None)
         grant = question.grant
--- a/dotterelpaddle/tests/owners/test_counts.py
+++ b/dotterelpaddle/tests/owners/test_counts.py
@@ -19,7 +19,7 @@
 from dotterelpaddle.tests.owners.world import AskingRouter, World, total
 
 if TYPE_CHECKING:
-    from dotterelpaddle.owners.telling import OpenQuestion
+    from dotterelpaddle.owners.telling import PendingGrant
 
 ROUTERS = 4
 INDEX = st.integers(min_value=0, max_value=ROUTERS - 1)
@@ -36,7 +36,7 @@
         ]
         self.to_owner: list[tuple[int, bytes]] = []
         self.to_router: list[tuple[int, bytes]] = []
-        self.open: dict[tuple[int, int], OpenQuestion] = {}
+        self.open: dict[tuple[int, int], PendingGrant] = {}
 
     @rule(index=INDEX)
     def ask(self, index: int) -> None:
--- a/dotterelpaddle/tests/owners/world.py
+++ b/dotterelpaddle/tests/owners/world.py
@@ -38,7 +38,7 @@
 if TYPE_CHECKING:
     from dotterelpaddle.forwarding.interface import ForwardRequest
     from dotterelpaddle.owners.messages import Grant, InFlightReport
-    from dotterelpaddle.owners.telling import OpenQuestion
+    from dotterelpaddle.owners.telling import PendingGrant
 
 HERE, THERE = FailureDomain("here"), FailureDomain("there")
 SERVICE = ServiceName("engines")
@@ -129,7 +129,7 @@
         shard: FailureDomain = HERE,
         excluded: frozenset[EndpointId] = frozenset(),
         cached_at: EndpointId | None = None,
-    ) -> tuple[OpenQuestion, GrantRequest]:
+    ) -> tuple[PendingGrant, GrantRequest]:
         """Begin a question."""
         asked = self.requests.open(owner=RouterId("owner"))
         question = GrantRequest(
@@ -148,7 +148,7 @@
         )
         return asked, question
 
-    def take_in(self, *, asked: OpenQuestion, grant: Grant) -> EndpointId | None:
+    def take_in(self, *, asked: PendingGrant, grant: Grant) -> EndpointId | None:
         """Hear an answer in time, and begin the request."""
         self.requests.answered(grant=grant)
         if asked.grant is None or asked.grant.endpoint is None:
