--- a/dotterelpaddle/forwarding/parts.py
+++ b/dotterelpaddle/forwarding/parts.py
@@ -41,7 +41,7 @@
 from dotterelpaddle.owners.owner import Owner
 from dotterelpaddle.owners.placing import OwnerPlacer
 from dotterelpaddle.owners.shards import ShardMap
-from dotterelpaddle.owners.telling import OwnRequests
+from dotterelpaddle.owners.telling import InFlightReporter
 from dotterelpaddle.peers.cache_lists import CacheDiscovery
 from dotterelpaddle.peers.directory import PeerDirectory
 from dotterelpaddle.peers.exchange import PeerExchange
@@ -222,7 +222,7 @@
         generator=generator,
     )
     shards = ShardMap(view=knowledge.view)
-    requests = OwnRequests(
+    requests = InFlightReporter(
         router=settings.router, loads=knowledge.loads, shards=shards, clock=clock
     )
     owners = OwnerExchange(
--- a/dotterelpaddle/owners/placing.py
+++ b/dotterelpaddle/owners/placing.py
@@ -23,7 +23,7 @@
     from dotterelpaddle.owners.asking import OwnerExchange
     from dotterelpaddle.owners.messages import Grant
     from dotterelpaddle.owners.shards import ShardMap
-    from dotterelpaddle.owners.telling import OwnRequests
+    from dotterelpaddle.owners.telling import InFlightReporter
     from dotterelpaddle.peers.directory import PeerDirectory
 
 MAX_SHARDS_ASKED = 2
@@ -54,7 +54,7 @@
         shards: ShardMap,
         directory: PeerDirectory,
         exchange: OwnerExchange,
-        requests: OwnRequests,
+        requests: InFlightReporter,
     ) -> None:
         self._view = view
         self._placer = placer
--- a/dotterelpaddle/owners/telling.py
+++ b/dotterelpaddle/owners/telling.py
@@ -36,7 +36,7 @@
     grant: Grant | None = None
 
 
-class OwnRequests:
+class InFlightReporter:
     """This router's requests in flight, and those that were granted just now.
 
     Args:
--- a/dotterelpaddle/tests/owners/world.py
+++ b/dotterelpaddle/tests/owners/world.py
@@ -28,7 +28,7 @@
 from dotterelpaddle.owners.messages import GrantRequest, PlacementQuery
 from dotterelpaddle.owners.owner import Owner
 from dotterelpaddle.owners.shards import ShardMap
-from dotterelpaddle.owners.telling import OwnRequests
+from dotterelpaddle.owners.telling import InFlightReporter
 from dotterelpaddle.tests.forwarding.entries import (
     make_entry,
     make_request,
@@ -110,7 +110,7 @@
         self._world = world
         shares = TotalsTracker(failure_domain=HERE, clock=world.clock)
         self.loads = LoadTracker(shares=shares)
-        self.requests = OwnRequests(
+        self.requests = InFlightReporter(
             router=RouterId(name),
             loads=self.loads,
             shards=ShardMap(view=world.view),
