--- a/dotterelpaddle/owners/asking.py
+++ b/dotterelpaddle/owners/asking.py
@@ -93,7 +93,7 @@
                 await anyio.sleep(REPORT_INTERVAL_SECONDS)
                 continue
             with anyio.move_on_after(REPORT_INTERVAL_SECONDS / 2):
-                await self._requests.wait_changed()
+                await self._requests.wait_for_change()
                 await anyio.sleep(REPORT_BATCH_SECONDS)
             await self._tell(self._requests.take_due())
 
--- a/dotterelpaddle/owners/telling.py
+++ b/dotterelpaddle/owners/telling.py
@@ -63,7 +63,7 @@
         self._changed = anyio.Event()
         loads.on_change(self._note_change)
 
-    async def wait_changed(self) -> None:
+    async def wait_for_change(self) -> None:
         """Wait until an owner must be told of something."""
         await self._changed.wait()
 
