--- a/dotterelpaddle/owners/asking.py
+++ b/dotterelpaddle/owners/asking.py
@@ -89,13 +89,13 @@
         self._datagrams = datagrams
         while True:
             if not self._directory.owners():
-                self._requests.take_due()
+                self._requests.take_due_domains()
                 await anyio.sleep(REPORT_INTERVAL_SECONDS)
                 continue
             with anyio.move_on_after(REPORT_INTERVAL_SECONDS / 2):
                 await self._requests.wait_for_change()
                 await anyio.sleep(REPORT_BATCH_SECONDS)
-            await self._tell(self._requests.take_due())
+            await self._tell(self._requests.take_due_domains())
 
     async def request_grant(
         self, *, domain: FailureDomain, wanted: PlacementQuery
--- a/dotterelpaddle/owners/telling.py
+++ b/dotterelpaddle/owners/telling.py
@@ -67,7 +67,7 @@
         """Wait until an owner must be told of something."""
         await self._changed.wait()
 
-    def take_due(self) -> set[FailureDomain]:
+    def take_due_domains(self) -> set[FailureDomain]:
         """Failure domains whose owners must be told now.
 
         Those that do not know of an end yet, and those that count requests of this
--- a/dotterelpaddle/tests/owners/test_telling.py
+++ b/dotterelpaddle/tests/owners/test_telling.py
@@ -26,7 +26,7 @@
         router.begin(endpoint=world.endpoints[0])
         router.end(1)
         world.now += PAUSE
-        for domain in router.requests.take_due():
+        for domain in router.requests.take_due_domains():
             router.requests.held(domain=domain)
             if domain == THERE:
                 longest = max(longest, world.now - last_told)
@@ -41,7 +41,7 @@
     asked, question = router.question()
     router.take_in(asked=asked, grant=world.owner.decide(question=question))
 
-    assert router.requests.take_due() == set()
+    assert router.requests.take_due_domains() == set()
 
 
 def test_end_of_a_request_is_told_at_once() -> None:
@@ -50,8 +50,8 @@
     router.take_in(asked=asked, grant=world.owner.decide(question=question))
     router.end(0)
 
-    assert router.requests.take_due() == {HERE}
-    assert router.requests.take_due() == set()
+    assert router.requests.take_due_domains() == {HERE}
+    assert router.requests.take_due_domains() == set()
 
 
 def test_nothing_in_flight_is_not_told_again() -> None:
@@ -59,4 +59,4 @@
     router.held()
     world.now += 2 * REPORT_INTERVAL_SECONDS
 
-    assert router.requests.take_due() == set()
+    assert router.requests.take_due_domains() == set()
