--- a/dotterelpaddle/owners/asking.py
+++ b/dotterelpaddle/owners/asking.py
@@ -126,7 +126,7 @@
         try:
             question = GrantRequest(
                 number=asked.number,
-                report=self._requests.held(domain=domain),
+                report=self._requests.build_report(domain=domain),
                 query=wanted,
             )
             if owner.router == self._directory.own.router:
@@ -167,7 +167,7 @@
     async def _tell(self, domains: set[FailureDomain]) -> None:
         told = {self._directory.own.router}
         for domain in sorted(domains):
-            held = self._requests.held(domain=domain)
+            held = self._requests.build_report(domain=domain)
             for owner in self._counting(domain=domain):
                 if owner.router not in told:
                     told.add(owner.router)
--- a/dotterelpaddle/owners/telling.py
+++ b/dotterelpaddle/owners/telling.py
@@ -90,7 +90,7 @@
         }
         return {domain for domain in domains if domain is not None}
 
-    def held(self, *, domain: FailureDomain) -> InFlightReport:
+    def build_report(self, *, domain: FailureDomain) -> InFlightReport:
         """Tell who decides for a failure domain all that is in flight.
 
         What is in flight elsewhere is told as well, a handful of requests: an owner
--- a/dotterelpaddle/tests/owners/test_telling.py
+++ b/dotterelpaddle/tests/owners/test_telling.py
@@ -27,7 +27,7 @@
         router.end(1)
         world.now += PAUSE
         for domain in router.requests.take_due_domains():
-            router.requests.held(domain=domain)
+            router.requests.build_report(domain=domain)
             if domain == THERE:
                 longest = max(longest, world.now - last_told)
                 last_told = world.now
--- a/dotterelpaddle/tests/owners/world.py
+++ b/dotterelpaddle/tests/owners/world.py
@@ -119,7 +119,7 @@
         self.in_flight: list[ExitStack] = []
 
     def held(self) -> InFlightReport:
-        return self.requests.held(domain=HERE)
+        return self.requests.build_report(domain=HERE)
 
     def question(
         self,
