--- a/dotterelpaddle/owners/asking.py
+++ b/dotterelpaddle/owners/asking.py
@@ -122,7 +122,7 @@
     async def _ask_one(
         self, *, owner: PeerInfo, domain: FailureDomain, wanted: PlacementQuery
     ) -> PendingGrant | None:
-        asked = self._requests.open(owner=owner.router)
+        asked = self._requests.open_request(owner=owner.router)
         try:
             question = GrantRequest(
                 number=asked.number,
--- a/dotterelpaddle/owners/telling.py
+++ b/dotterelpaddle/owners/telling.py
@@ -108,7 +108,7 @@
             pending=frozenset(self._open),
         )
 
-    def open(self, *, owner: RouterId) -> PendingGrant:
+    def open_request(self, *, owner: RouterId) -> PendingGrant:
         """Begin a question to an owner."""
         self._numbers += 1
         question = PendingGrant(number=self._numbers, owner=owner)
--- a/dotterelpaddle/tests/owners/world.py
+++ b/dotterelpaddle/tests/owners/world.py
@@ -131,7 +131,7 @@
         cached_at: EndpointId | None = None,
     ) -> tuple[PendingGrant, GrantRequest]:
         """Begin a question."""
-        asked = self.requests.open(owner=RouterId("owner"))
+        asked = self.requests.open_request(owner=RouterId("owner"))
         question = GrantRequest(
             number=asked.number,
             report=self.held(),
