--- a/dotterelpaddle/owners/asking.py
+++ b/dotterelpaddle/owners/asking.py
@@ -130,7 +130,7 @@
                 query=wanted,
             )
             if owner.router == self._directory.own.router:
-                self._requests.answered(grant=self._owner.decide(question=question))
+                self._requests.resolve(grant=self._owner.decide(question=question))
                 return asked
             await self._send(encode(message=question), owner.address)
             with anyio.move_on_after(OWNER_TIMEOUT_SECONDS):
@@ -157,7 +157,7 @@
                 grant = self._owner.decide(question=message)
                 await self._send(encode(message=grant), address)
             case Grant():
-                self._requests.answered(grant=message)
+                self._requests.resolve(grant=message)
             case InFlightReport():
                 self._owner.record_report(held=message)
 
--- a/dotterelpaddle/owners/telling.py
+++ b/dotterelpaddle/owners/telling.py
@@ -115,7 +115,7 @@
         self._open[question.number] = question
         return question
 
-    def answered(self, *, grant: Grant) -> None:
+    def resolve(self, *, grant: Grant) -> None:
         """Take in an answer; one that comes too late is passed over."""
         question = self._open.pop(grant.number, None)
         if question is None:
--- a/dotterelpaddle/tests/owners/test_counts.py
+++ b/dotterelpaddle/tests/owners/test_counts.py
@@ -86,7 +86,7 @@
         assert isinstance(grant, Grant)
         asked = self.open.pop((index, grant.number), None)
         if asked is None:
-            self.routers[index].requests.answered(grant=grant)
+            self.routers[index].requests.resolve(grant=grant)
         else:
             self.routers[index].take_in(asked=asked, grant=grant)
 
--- a/dotterelpaddle/tests/owners/world.py
+++ b/dotterelpaddle/tests/owners/world.py
@@ -150,7 +150,7 @@
 
     def take_in(self, *, asked: PendingGrant, grant: Grant) -> EndpointId | None:
         """Hear an answer in time, and begin the request."""
-        self.requests.answered(grant=grant)
+        self.requests.resolve(grant=grant)
         if asked.grant is None or asked.grant.endpoint is None:
             self.requests.give_up(question=asked)
             return None
