--- a/dotterelpaddle/owners/asking.py
+++ b/dotterelpaddle/owners/asking.py
@@ -136,11 +136,11 @@
             with anyio.move_on_after(OWNER_TIMEOUT_SECONDS):
                 await asked.answered.wait()
         except BaseException:
-            self._requests.give_up(question=asked)
+            self._requests.abandon(question=asked)
             raise
         if asked.grant is not None:
             return asked
-        self._requests.give_up(question=asked)
+        self._requests.abandon(question=asked)
         self._silent_until[owner.router] = self._clock() + OWNER_COOLDOWN_SECONDS
         log.warning("owner_silent", router=owner.router, seconds=OWNER_TIMEOUT_SECONDS)
         return None
--- a/dotterelpaddle/owners/placing.py
+++ b/dotterelpaddle/owners/placing.py
@@ -154,7 +154,7 @@
                 return self._choice(
                     grant=grant, owner=answered.owner, usable=usable, request=request
                 )
-            self._requests.give_up(question=answered)
+            self._requests.abandon(question=answered)
             cached_at = grant.fetch_from
         return LocalChoiceReason.NOTHING_GRANTED
 
--- a/dotterelpaddle/owners/telling.py
+++ b/dotterelpaddle/owners/telling.py
@@ -125,7 +125,7 @@
             self._granted[grant.endpoint] += 1
         question.answered.set()
 
-    def give_up(self, *, question: PendingGrant) -> None:
+    def abandon(self, *, question: PendingGrant) -> None:
         """Forget a question, or the answer to it that nobody uses."""
         self._open.pop(question.number, None)
         grant = question.grant
--- a/dotterelpaddle/tests/owners/world.py
+++ b/dotterelpaddle/tests/owners/world.py
@@ -152,7 +152,7 @@
         """Hear an answer in time, and begin the request."""
         self.requests.resolve(grant=grant)
         if asked.grant is None or asked.grant.endpoint is None:
-            self.requests.give_up(question=asked)
+            self.requests.abandon(question=asked)
             return None
         self.begin(endpoint=asked.grant.endpoint)
         return asked.grant.endpoint
