--- a/dotterelpaddle/exceptions.py
+++ b/dotterelpaddle/exceptions.py
@@ -277,7 +277,7 @@
     """No connection to the endpoint could be made, so nothing was sent.
 
     Attributes:
-        silent: Whether there was no answer at all, rather than a refusal.
+        timed_out: Whether there was no answer at all, rather than a refusal.
     """
 
     default_step = Step.CONNECT
@@ -291,7 +291,7 @@
         peer: str = "",
     ):
         super().__init__(message, step=step, peer=peer)
-        self.silent = silent
+        self.timed_out = silent
 
 
 class EndpointSilent(EndpointError):
--- a/dotterelpaddle/forwarding/progress.py
+++ b/dotterelpaddle/forwarding/progress.py
@@ -48,7 +48,9 @@
         match failure:
             case IdleConnectionLost():
                 pass
-            case EndpointUnreachable(silent=True) if endpoint not in self._unconnected:
+            case EndpointUnreachable(timed_out=True) if (
+                endpoint not in self._unconnected
+            ):
                 self._unconnected.add(endpoint)
             case _:
                 self._asked.add(endpoint)
