--- a/dotterelpaddle/http_server.py
+++ b/dotterelpaddle/http_server.py
@@ -17,7 +17,7 @@
     import socket
     from collections.abc import AsyncIterator, Iterator
 
-GRACE = 5.0
+SHUTDOWN_GRACE_SECONDS = 5.0
 """Seconds that open connections get when a server stops, unless told otherwise."""
 
 
@@ -66,7 +66,7 @@
     *,
     app: Any,
     address: Address | socket.socket,
-    grace: float = GRACE,
+    grace: float = SHUTDOWN_GRACE_SECONDS,
     protocol: type[asyncio.Protocol] | None = None,
     also: Address | None = None,
 ) -> AsyncIterator[Address]:
--- a/dotterelpaddle/standins/engine.py
+++ b/dotterelpaddle/standins/engine.py
@@ -9,7 +9,7 @@
 import anyio
 
 from dotterelpaddle.clock import monotonic
-from dotterelpaddle.http_server import GRACE, serve
+from dotterelpaddle.http_server import SHUTDOWN_GRACE_SECONDS, serve
 from dotterelpaddle.ids import RequestId
 from dotterelpaddle.standins.answers import AnswerText, count_prompt_tokens
 from dotterelpaddle.standins.batching import Batch, BatchLimits, Run
@@ -261,7 +261,7 @@
     name: str,
     step: float = 0.004,
     settings: EngineSettings | None = None,
-    grace: float = GRACE,
+    grace: float = SHUTDOWN_GRACE_SECONDS,
     clock: Clock = monotonic,
 ) -> AsyncIterator[EngineStandin]:
     """Run an engine stand-in until the context ends.
--- a/dotterelpaddle/standins/service.py
+++ b/dotterelpaddle/standins/service.py
@@ -13,7 +13,7 @@
 from starlette.responses import Response
 from starlette.routing import Route
 
-from dotterelpaddle.http_server import GRACE, serve
+from dotterelpaddle.http_server import SHUTDOWN_GRACE_SECONDS, serve
 from dotterelpaddle.ids import RequestId
 from dotterelpaddle.standins.chat_answer import FOREIGN_ID
 from dotterelpaddle.standins.connections import Connections
@@ -222,7 +222,7 @@
     address: Address,
     name: str,
     settings: ServiceSettings | None = None,
-    grace: float = GRACE,
+    grace: float = SHUTDOWN_GRACE_SECONDS,
 ) -> AsyncIterator[ServiceStandin]:
     """Run a service stand-in until the context ends.
 
