--- a/dotterelpaddle/line_logs.py
+++ b/dotterelpaddle/line_logs.py
@@ -24,7 +24,7 @@
 
     from dotterelpaddle.clock import Clock
 
-EVENT_RATE = 100.0
+EVENT_LINES_PER_SECOND = 100.0
 """Lines a second of one event: several times what a router's requests cause on a busy
 day, and under a hundredth of a core to write."""
 
@@ -113,7 +113,7 @@
         if allowance is None:
             allowance = _Allowance(lines=EVENT_BURST, at=now)
             self._allowances[event] = allowance
-        earned = EVENT_RATE * (now - allowance.at)
+        earned = EVENT_LINES_PER_SECOND * (now - allowance.at)
         allowance.lines = min(EVENT_BURST, allowance.lines + earned)
         allowance.at = now
         if allowance.lines < 1.0:
--- a/dotterelpaddle/tests/test_line_logs.py
+++ b/dotterelpaddle/tests/test_line_logs.py
@@ -9,7 +9,12 @@
 import orjson
 
 from dotterelpaddle import line_logs
-from dotterelpaddle.line_logs import EVENT_BURST, EVENT_RATE, LEFT_OUT, LineSink
+from dotterelpaddle.line_logs import (
+    EVENT_BURST,
+    EVENT_LINES_PER_SECOND,
+    LEFT_OUT,
+    LineSink,
+)
 from dotterelpaddle.logs import Level, get_logger, logs_to
 
 if TYPE_CHECKING:
@@ -88,11 +93,11 @@
         for _ in range(2 * int(EVENT_BURST)):
             log.info("placed")
         world.now = 1.0
-        for _ in range(2 * int(EVENT_RATE)):
+        for _ in range(2 * int(EVENT_LINES_PER_SECOND)):
             log.info("placed")
 
     told = [line["message_type"] for line in world.read()]
-    assert told.count("placed") == EVENT_BURST + EVENT_RATE
+    assert told.count("placed") == EVENT_BURST + EVENT_LINES_PER_SECOND
 
 
 def test_line_that_must_be_kept_is_left_out_at_no_rate() -> None:
