--- a/dotterelpaddle/line_logs.py
+++ b/dotterelpaddle/line_logs.py
@@ -28,7 +28,7 @@
 """Lines a second of one event: several times what a router's requests cause on a busy
 day, and under a hundredth of a core to write."""
 
-EVENT_BURST = 400.0
+EVENT_BURST_LINES = 400.0
 """Lines of one event that may come at once."""
 
 MOST_QUEUED = 8 * 1024 * 1024
@@ -111,10 +111,10 @@
         now = self._clock()
         allowance = self._allowances.get(event)
         if allowance is None:
-            allowance = _Allowance(lines=EVENT_BURST, at=now)
+            allowance = _Allowance(lines=EVENT_BURST_LINES, at=now)
             self._allowances[event] = allowance
         earned = EVENT_LINES_PER_SECOND * (now - allowance.at)
-        allowance.lines = min(EVENT_BURST, allowance.lines + earned)
+        allowance.lines = min(EVENT_BURST_LINES, allowance.lines + earned)
         allowance.at = now
         if allowance.lines < 1.0:
             return False
--- a/dotterelpaddle/tests/test_line_logs.py
+++ b/dotterelpaddle/tests/test_line_logs.py
@@ -10,7 +10,7 @@
 
 from dotterelpaddle import line_logs
 from dotterelpaddle.line_logs import (
-    EVENT_BURST,
+    EVENT_BURST_LINES,
     EVENT_LINES_PER_SECOND,
     LEFT_OUT,
     LineSink,
@@ -77,35 +77,35 @@
 
 def test_storm_of_one_event_leaves_the_others_readable() -> None:
     with _world() as world:
-        for number in range(3 * int(EVENT_BURST)):
+        for number in range(3 * int(EVENT_BURST_LINES)):
             log.info("placed", number=number)
         log.info("platform_regained")
 
     lines = world.read()
     told = [line["message_type"] for line in lines]
-    assert told.count("placed") == EVENT_BURST
+    assert told.count("placed") == EVENT_BURST_LINES
     assert told[-2:] == [LEFT_OUT, "platform_regained"]
-    assert lines[-2]["events"] == {"placed": 2 * EVENT_BURST}
+    assert lines[-2]["events"] == {"placed": 2 * EVENT_BURST_LINES}
 
 
 def test_allowance_of_an_event_comes_back() -> None:
     with _world() as world:
-        for _ in range(2 * int(EVENT_BURST)):
+        for _ in range(2 * int(EVENT_BURST_LINES)):
             log.info("placed")
         world.now = 1.0
         for _ in range(2 * int(EVENT_LINES_PER_SECOND)):
             log.info("placed")
 
     told = [line["message_type"] for line in world.read()]
-    assert told.count("placed") == EVENT_BURST + EVENT_LINES_PER_SECOND
+    assert told.count("placed") == EVENT_BURST_LINES + EVENT_LINES_PER_SECOND
 
 
 def test_line_that_must_be_kept_is_left_out_at_no_rate() -> None:
     with _world() as world:
-        for _ in range(3 * int(EVENT_BURST)):
+        for _ in range(3 * int(EVENT_BURST_LINES)):
             log.info("request_ended", keep=True)
 
-    assert len(world.read()) == 3 * EVENT_BURST
+    assert len(world.read()) == 3 * EVENT_BURST_LINES
 
 
 def test_lines_that_wait_are_bounded(monkeypatch: pytest.MonkeyPatch) -> None:
