--- a/dotterelpaddle/line_logs.py
+++ b/dotterelpaddle/line_logs.py
@@ -31,7 +31,7 @@
 EVENT_BURST_LINES = 400.0
 """Lines of one event that may come at once."""
 
-MOST_QUEUED = 8 * 1024 * 1024
+MAX_QUEUED_BYTES = 8 * 1024 * 1024
 """Bytes of lines that wait for a reader that stands still."""
 
 BATCH_PAUSE = 0.1
@@ -144,7 +144,7 @@
             option=orjson.OPT_APPEND_NEWLINE | orjson.OPT_NON_STR_KEYS,
         )
         with self._written:
-            if self._queued + len(line) > MOST_QUEUED:
+            if self._queued + len(line) > MAX_QUEUED_BYTES:
                 return False
             if not self._queue:
                 self._written.notify()
