--- a/dotterelpaddle/line_logs.py
+++ b/dotterelpaddle/line_logs.py
@@ -34,7 +34,7 @@
 MAX_QUEUED_BYTES = 8 * 1024 * 1024
 """Bytes of lines that wait for a reader that stands still."""
 
-BATCH_PAUSE = 0.1
+BATCH_SECONDS = 0.1
 """Seconds in which lines are gathered for one write, which saves calls to the
 system; a process that is killed loses no more than the lines of this time."""
 
@@ -161,7 +161,7 @@
                     return
                 closing = self._closing
             if not closing:
-                time.sleep(BATCH_PAUSE)
+                time.sleep(BATCH_SECONDS)
             with self._written:
                 lines, self._queue = self._queue, []
                 self._queued = 0
@@ -175,7 +175,7 @@
             try:
                 left = left[os.write(self._descriptor, left) :]
             except BlockingIOError:
-                time.sleep(BATCH_PAUSE)
+                time.sleep(BATCH_SECONDS)
             except OSError:
                 # The reader is gone. There is nowhere left to say so.
                 return False
