--- a/dotterelpaddle/line_logs.py
+++ b/dotterelpaddle/line_logs.py
@@ -38,7 +38,7 @@
 """Seconds in which lines are gathered for one write, which saves calls to the
 system; a process that is killed loses no more than the lines of this time."""
 
-CLOSE_TIME = 0.5
+CLOSE_TIMEOUT_SECONDS = 0.5
 """Seconds that the last lines get at the end; a reader may stand still for ever."""
 
 TELL_PAUSE = 1.0
@@ -104,7 +104,7 @@
             with self._written:
                 self._closing = True
                 self._written.notify()
-            thread.join(CLOSE_TIME)
+            thread.join(CLOSE_TIMEOUT_SECONDS)
 
     def _take(self, event: str) -> bool:
         """Take one line off the allowance of an event, if there is any."""
