--- a/dotterelpaddle/line_logs.py
+++ b/dotterelpaddle/line_logs.py
@@ -41,7 +41,7 @@
 CLOSE_TIMEOUT_SECONDS = 0.5
 """Seconds that the last lines get at the end; a reader may stand still for ever."""
 
-TELL_PAUSE = 1.0
+DROP_REPORT_INTERVAL_SECONDS = 1.0
 """Seconds between two lines on what was left out, which a storm would double."""
 
 LEFT_OUT = "lines_left_out"
@@ -123,7 +123,7 @@
 
     def _tell_left_out(self) -> None:
         now = self._clock()
-        if not self._left_out or now - self._told_at < TELL_PAUSE:
+        if not self._left_out or now - self._told_at < DROP_REPORT_INTERVAL_SECONDS:
             return
         if self._put(LEFT_OUT, {"events": self._left_out}):
             self._left_out = Counter()
