--- a/dotterelpaddle/line_logs.py
+++ b/dotterelpaddle/line_logs.py
@@ -44,7 +44,7 @@
 DROP_REPORT_INTERVAL_SECONDS = 1.0
 """Seconds between two lines on what was left out, which a storm would double."""
 
-LEFT_OUT = "lines_left_out"
+LINES_DROPPED_EVENT = "lines_left_out"
 """Event that tells how many lines of which events were left out."""
 
 
@@ -125,7 +125,7 @@
         now = self._clock()
         if not self._left_out or now - self._told_at < DROP_REPORT_INTERVAL_SECONDS:
             return
-        if self._put(LEFT_OUT, {"events": self._left_out}):
+        if self._put(LINES_DROPPED_EVENT, {"events": self._left_out}):
             self._left_out = Counter()
             self._told_at = now
 
--- a/dotterelpaddle/tests/test_line_logs.py
+++ b/dotterelpaddle/tests/test_line_logs.py
@@ -12,7 +12,7 @@
 from dotterelpaddle.line_logs import (
     EVENT_BURST_LINES,
     EVENT_LINES_PER_SECOND,
-    LEFT_OUT,
+    LINES_DROPPED_EVENT,
     LineSink,
 )
 from dotterelpaddle.logs import Level, get_logger, logs_to
@@ -84,7 +84,7 @@
     lines = world.read()
     told = [line["message_type"] for line in lines]
     assert told.count("placed") == EVENT_BURST_LINES
-    assert told[-2:] == [LEFT_OUT, "platform_regained"]
+    assert told[-2:] == [LINES_DROPPED_EVENT, "platform_regained"]
     assert lines[-2]["events"] == {"placed": 2 * EVENT_BURST_LINES}
 
 
@@ -120,7 +120,9 @@
 
     lines = world.read()
     assert 0 < len(lines) < 20
-    (left_out,) = [line for line in lines if line["message_type"] == LEFT_OUT]
+    (left_out,) = [
+        line for line in lines if line["message_type"] == LINES_DROPPED_EVENT
+    ]
     assert left_out["events"]["placed"] > 80
 
 
