--- a/dotterelpaddle/line_logs.py
+++ b/dotterelpaddle/line_logs.py
@@ -52,7 +52,7 @@
 class _Allowance:
     """Lines of one event that may be written now."""
 
-    lines: float
+    tokens: float
     at: float
 
 
@@ -111,14 +111,14 @@
         now = self._clock()
         allowance = self._allowances.get(event)
         if allowance is None:
-            allowance = _Allowance(lines=EVENT_BURST_LINES, at=now)
+            allowance = _Allowance(tokens=EVENT_BURST_LINES, at=now)
             self._allowances[event] = allowance
         earned = EVENT_LINES_PER_SECOND * (now - allowance.at)
-        allowance.lines = min(EVENT_BURST_LINES, allowance.lines + earned)
+        allowance.tokens = min(EVENT_BURST_LINES, allowance.tokens + earned)
         allowance.at = now
-        if allowance.lines < 1.0:
+        if allowance.tokens < 1.0:
             return False
-        allowance.lines -= 1.0
+        allowance.tokens -= 1.0
         return True
 
     def _tell_left_out(self) -> None:
