--- a/dotterelpaddle/line_logs.py
+++ b/dotterelpaddle/line_logs.py
@@ -53,7 +53,7 @@
     """Lines of one event that may be written now."""
 
     tokens: float
-    at: float
+    updated_at: float
 
 
 class LineSink:
@@ -111,11 +111,11 @@
         now = self._clock()
         allowance = self._allowances.get(event)
         if allowance is None:
-            allowance = _Allowance(tokens=EVENT_BURST_LINES, at=now)
+            allowance = _Allowance(tokens=EVENT_BURST_LINES, updated_at=now)
             self._allowances[event] = allowance
-        earned = EVENT_LINES_PER_SECOND * (now - allowance.at)
+        earned = EVENT_LINES_PER_SECOND * (now - allowance.updated_at)
         allowance.tokens = min(EVENT_BURST_LINES, allowance.tokens + earned)
-        allowance.at = now
+        allowance.updated_at = now
         if allowance.tokens < 1.0:
             return False
         allowance.tokens -= 1.0
