--- a/dotterelpaddle/control/receiver.py
+++ b/dotterelpaddle/control/receiver.py
@@ -81,7 +81,7 @@
 
     def _receive(self, *, content: bytes, peer: Address) -> None:
         self._traffic.count_datagram_received()
-        if self._links.faulty and not self._links.is_open(peer=peer):
+        if self._links.has_faults and not self._links.is_open(peer=peer):
             return
         envelope = self._open(content=content, peer=peer)
         if envelope is None:
--- a/dotterelpaddle/control/sender.py
+++ b/dotterelpaddle/control/sender.py
@@ -135,7 +135,7 @@
             log.debug("control_send", peer=str(parcel.peer), error=repr(error))
 
     def _is_lost(self, *, peer: Address) -> bool:
-        if not self._links.faulty:
+        if not self._links.has_faults:
             return False
         return not self._links.is_open(peer=peer) or self._links.loses()
 
--- a/dotterelpaddle/links.py
+++ b/dotterelpaddle/links.py
@@ -26,7 +26,7 @@
         self._random = random.Random(seed)
 
     @property
-    def faulty(self) -> bool:
+    def has_faults(self) -> bool:
         """Whether any fault is switched on."""
         return bool(self._cut) or self._loss > 0.0
 
--- a/dotterelpaddle/network.py
+++ b/dotterelpaddle/network.py
@@ -86,7 +86,7 @@
         if self._held:
             await self._send_held(timeout=timeout)
         data = await self._read_on(max_bytes, timeout)
-        if self._links.faulty:
+        if self._links.has_faults:
             await self._wait_for_link(timeout=timeout, error=httpcore.ReadTimeout)
         self._received += len(data)
         return data
@@ -103,7 +103,7 @@
     async def write(self, buffer: bytes, timeout: float | None = None) -> None:
         """Write all bytes; while the link is cut they wait for it unseen."""
         self._written += len(buffer)
-        if self._links.faulty and not self._links.is_open(peer=self._peer):
+        if self._links.has_faults and not self._links.is_open(peer=self._peer):
             self._held += buffer
             return
         held, self._held = self._held, b""
