--- a/dotterelpaddle/control/sender.py
+++ b/dotterelpaddle/control/sender.py
@@ -137,7 +137,7 @@
     def _is_lost(self, *, peer: Address) -> bool:
         if not self._links.has_faults:
             return False
-        return not self._links.is_open(peer=peer) or self._links.loses()
+        return not self._links.is_open(peer=peer) or self._links.should_drop_datagram()
 
     def _account(self, *, parcel: Parcel, size: int) -> None:
         """Count a datagram; its first message pays for what is shared."""
--- a/dotterelpaddle/links.py
+++ b/dotterelpaddle/links.py
@@ -34,7 +34,7 @@
         """Tell whether packets to and from a peer pass."""
         return peer not in self._cut
 
-    def loses(self) -> bool:
+    def should_drop_datagram(self) -> bool:
         """Draw whether the next datagram is lost."""
         return self._loss > 0.0 and self._random.random() < self._loss
 
--- a/dotterelpaddle/peers/datagrams.py
+++ b/dotterelpaddle/peers/datagrams.py
@@ -82,7 +82,7 @@
 
     async def send(self, datagram: bytes, target: Address) -> None:
         """Send a datagram; one that can't be sent is lost like others."""
-        if not self._links.is_open(peer=target) or self._links.loses():
+        if not self._links.is_open(peer=target) or self._links.should_drop_datagram():
             return
         self._transport.sendto(datagram, (target.host, target.port))
 
