--- a/dotterelpaddle/links.py
+++ b/dotterelpaddle/links.py
@@ -49,6 +49,6 @@
         else:
             self._cut -= peers
 
-    def lose(self, *, share: float) -> None:
+    def set_loss(self, *, share: float) -> None:
         """Lose a share of datagrams, from 0 to 1."""
         self._loss = share
