--- a/dotterelpaddle/log_reader.py
+++ b/dotterelpaddle/log_reader.py
@@ -10,7 +10,7 @@
 if TYPE_CHECKING:
     from collections.abc import Iterable, Mapping
 
-CONTEXT_BEFORE = 3.0
+CONTEXT_BEFORE_SECONDS = 3.0
 """Seconds before a request in which its routers' other lines may explain it."""
 
 CONTEXT_AFTER = 1.0
@@ -79,7 +79,7 @@
         return None
     processes = {line.process for line in own}
     endpoints = {line.fields.get("endpoint") for line in own} - {None, ""}
-    begin, end = own[0].at - CONTEXT_BEFORE, own[-1].at + CONTEXT_AFTER
+    begin, end = own[0].at - CONTEXT_BEFORE_SECONDS, own[-1].at + CONTEXT_AFTER
     around = [
         line
         for line in everything
