--- a/dotterelpaddle/log_reader.py
+++ b/dotterelpaddle/log_reader.py
@@ -13,7 +13,7 @@
 CONTEXT_BEFORE_SECONDS = 3.0
 """Seconds before a request in which its routers' other lines may explain it."""
 
-CONTEXT_AFTER = 1.0
+CONTEXT_AFTER_SECONDS = 1.0
 """Seconds after it: some of what befell it is noticed a little later."""
 
 ENVELOPE = frozenset(
@@ -79,7 +79,7 @@
         return None
     processes = {line.process for line in own}
     endpoints = {line.fields.get("endpoint") for line in own} - {None, ""}
-    begin, end = own[0].at - CONTEXT_BEFORE_SECONDS, own[-1].at + CONTEXT_AFTER
+    begin, end = own[0].at - CONTEXT_BEFORE_SECONDS, own[-1].at + CONTEXT_AFTER_SECONDS
     around = [
         line
         for line in everything
