--- a/dotterelpaddle/log_reader.py
+++ b/dotterelpaddle/log_reader.py
@@ -16,7 +16,7 @@
 CONTEXT_AFTER_SECONDS = 1.0
 """Seconds after it: some of what befell it is noticed a little later."""
 
-ENVELOPE = frozenset(
+COMMON_FIELDS = frozenset(
     {"task_uuid", "task_level", "timestamp", "message_type", "logger_name", "level"}
 )
 """Fields that every line has; the others are what it tells."""
@@ -112,5 +112,7 @@
         at=float(fields.get("timestamp", 0.0)),
         process=str(fields.get("task_uuid", "")),
         event=str(fields["message_type"]),
-        fields={name: value for name, value in fields.items() if name not in ENVELOPE},
+        fields={
+            name: value for name, value in fields.items() if name not in COMMON_FIELDS
+        },
     )
