--- a/dotterelpaddle/commands/trace.py
+++ b/dotterelpaddle/commands/trace.py
@@ -49,7 +49,7 @@
 
 def _told(*, line: LogLine, request: str, story: Story) -> str:
     mark = "*" if line.request == request else " "
-    since = line.at - story.lines[0].at
+    since = line.written_at - story.lines[0].written_at
     router = story.routers.get(line.process, line.process[:8])
     fields = " ".join(
         f"{name}={value}"
--- a/dotterelpaddle/log_reader.py
+++ b/dotterelpaddle/log_reader.py
@@ -27,13 +27,13 @@
     """One line.
 
     Attributes:
-        at: When it was written, seconds since 1970 by its host's clock.
+        written_at: When it was written, seconds since 1970 by its host's clock.
         process: The process that wrote it.
         event: What it tells.
         fields: What decided it.
     """
 
-    at: float
+    written_at: float
     process: str
     event: str
     fields: Mapping[str, Any]
@@ -73,23 +73,26 @@
     they learnt of its endpoints, and what is about no request or endpoint: the
     platform, other routers, the configuration.
     """
-    everything = sorted(lines, key=lambda line: line.at)
+    everything = sorted(lines, key=lambda line: line.written_at)
     own = [line for line in everything if line.request == request]
     if not own:
         return None
     processes = {line.process for line in own}
     endpoints = {line.fields.get("endpoint") for line in own} - {None, ""}
-    begin, end = own[0].at - CONTEXT_BEFORE_SECONDS, own[-1].at + CONTEXT_AFTER_SECONDS
+    begin, end = (
+        own[0].written_at - CONTEXT_BEFORE_SECONDS,
+        own[-1].written_at + CONTEXT_AFTER_SECONDS,
+    )
     around = [
         line
         for line in everything
         if line.process in processes
-        and begin <= line.at <= end
+        and begin <= line.written_at <= end
         and not line.request
         and line.fields.get("endpoint") in endpoints | {None, ""}
     ]
     return Story(
-        lines=tuple(sorted([*own, *around], key=lambda line: line.at)),
+        lines=tuple(sorted([*own, *around], key=lambda line: line.written_at)),
         routers={
             line.process: str(line.fields["router"])
             for line in everything
@@ -109,7 +112,7 @@
     if not isinstance(fields, dict) or "message_type" not in fields:
         return None
     return LogLine(
-        at=float(fields.get("timestamp", 0.0)),
+        written_at=float(fields.get("timestamp", 0.0)),
         process=str(fields.get("task_uuid", "")),
         event=str(fields["message_type"]),
         fields={
--- a/dotterelpaddle/tests/commands/test_trace.py
+++ b/dotterelpaddle/tests/commands/test_trace.py
@@ -57,7 +57,9 @@
         "placed",
         "request_ended",
     ]
-    assert [line.at for line in story.lines] == sorted(line.at for line in story.lines)
+    assert [line.written_at for line in story.lines] == sorted(
+        line.written_at for line in story.lines
+    )
     assert story.routers == {"one": "router-1"}
 
 
