--- a/dotterelpaddle/commands/trace.py
+++ b/dotterelpaddle/commands/trace.py
@@ -48,7 +48,7 @@
 
 
 def _told(*, line: LogLine, request: str, story: Story) -> str:
-    mark = "*" if line.request == request else " "
+    mark = "*" if line.request_id == request else " "
     since = line.written_at - story.lines[0].written_at
     router = story.routers.get(line.process, line.process[:8])
     fields = " ".join(
--- a/dotterelpaddle/log_reader.py
+++ b/dotterelpaddle/log_reader.py
@@ -39,7 +39,7 @@
     fields: Mapping[str, Any]
 
     @property
-    def request(self) -> str:
+    def request_id(self) -> str:
         """The request that it is about, empty if about none."""
         return str(self.fields.get("request_id", ""))
 
@@ -74,7 +74,7 @@
     platform, other routers, the configuration.
     """
     everything = sorted(lines, key=lambda line: line.written_at)
-    own = [line for line in everything if line.request == request]
+    own = [line for line in everything if line.request_id == request]
     if not own:
         return None
     processes = {line.process for line in own}
@@ -88,7 +88,7 @@
         for line in everything
         if line.process in processes
         and begin <= line.written_at <= end
-        and not line.request
+        and not line.request_id
         and line.fields.get("endpoint") in endpoints | {None, ""}
     ]
     return Story(
