--- a/dotterelpaddle/commands/trace.py
+++ b/dotterelpaddle/commands/trace.py
@@ -13,7 +13,7 @@
 if TYPE_CHECKING:
     from collections.abc import Iterator
 
-    from dotterelpaddle.log_reader import LogLine, Story
+    from dotterelpaddle.log_reader import LogLine, RequestTrace
 
 
 def trace_command(request: str, *files: Path) -> int:
@@ -47,7 +47,7 @@
             raise SettingsError(f"log file '{path}': {error.strerror}") from error
 
 
-def _told(*, line: LogLine, request: str, story: Story) -> str:
+def _told(*, line: LogLine, request: str, story: RequestTrace) -> str:
     mark = "*" if line.request_id == request else " "
     since = line.written_at - story.lines[0].written_at
     router = story.routers.get(line.process, line.process[:8])
--- a/dotterelpaddle/log_reader.py
+++ b/dotterelpaddle/log_reader.py
@@ -45,7 +45,7 @@
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
-class Story:
+class RequestTrace:
     """What the logs tell of a request.
 
     Attributes:
@@ -66,7 +66,7 @@
     return [line for line in lines if line is not None]
 
 
-def find_story(*, lines: Iterable[LogLine], request: str) -> Story | None:
+def find_story(*, lines: Iterable[LogLine], request: str) -> RequestTrace | None:
     """Find what tells of a request, None if nothing does.
 
     Beside its own lines these are, of the same processes and about the same time, what
@@ -91,7 +91,7 @@
         and not line.request_id
         and line.fields.get("endpoint") in endpoints | {None, ""}
     ]
-    return Story(
+    return RequestTrace(
         lines=tuple(sorted([*own, *around], key=lambda line: line.written_at)),
         routers={
             line.process: str(line.fields["router"])
