--- a/dotterelpaddle/commands/trace.py
+++ b/dotterelpaddle/commands/trace.py
@@ -8,7 +8,7 @@
 
 from dotterelpaddle.commands.errors import ExitCode
 from dotterelpaddle.exceptions import SettingsError
-from dotterelpaddle.log_reader import find_story, read_lines
+from dotterelpaddle.log_reader import find_trace, read_lines
 
 if TYPE_CHECKING:
     from collections.abc import Iterator
@@ -27,7 +27,7 @@
         request: Id of the request.
         files: Log files of any routers; standard input if none is named.
     """
-    story = find_story(lines=read_lines(source=_texts(files)), request=request)
+    story = find_trace(lines=read_lines(source=_texts(files)), request=request)
     if story is None:
         print(f"no line is about request '{request}'", file=sys.stderr)
         return ExitCode.FAILED
--- a/dotterelpaddle/log_reader.py
+++ b/dotterelpaddle/log_reader.py
@@ -66,7 +66,7 @@
     return [line for line in lines if line is not None]
 
 
-def find_story(*, lines: Iterable[LogLine], request: str) -> RequestTrace | None:
+def find_trace(*, lines: Iterable[LogLine], request: str) -> RequestTrace | None:
     """Find what tells of a request, None if nothing does.
 
     Beside its own lines these are, of the same processes and about the same time, what
