--- a/dotterelpaddle/daemon/process.py
+++ b/dotterelpaddle/daemon/process.py
@@ -13,7 +13,7 @@
 from dotterelpaddle.forwarding.router import run_forwarder
 from dotterelpaddle.line_logs import LineSink
 from dotterelpaddle.links import Links
-from dotterelpaddle.logs import Level, get_logger, logs_to
+from dotterelpaddle.logs import Level, get_logger, log_to_sink
 from dotterelpaddle.platform.documents import PlatformDocumentDecoder
 from dotterelpaddle.platform.engines import EngineCacheReader
 from dotterelpaddle.platform.protocols import PlatformProtocols
@@ -37,7 +37,7 @@
         listener: Where it listens for callers already.
     """
     sink = LineSink(descriptor=sys.stdout.fileno())
-    with logs_to(level=Level.INFO, sink=sink):
+    with log_to_sink(level=Level.INFO, sink=sink):
         anyio.run(_run, settings, listener)
 
 
--- a/dotterelpaddle/logs.py
+++ b/dotterelpaddle/logs.py
@@ -166,12 +166,12 @@
 @contextmanager
 def redirect_logs(*, level: Level, stream: IO[str]) -> Iterator[None]:
     """Send log lines to a stream while the context lasts."""
-    with logs_to(level=level, sink=_eliot(stream=stream)):
+    with log_to_sink(level=level, sink=_eliot(stream=stream)):
         yield
 
 
 @contextmanager
-def logs_to(*, level: Level, sink: Sink) -> Iterator[None]:
+def log_to_sink(*, level: Level, sink: Sink) -> Iterator[None]:
     """Send log lines to a sink while the context lasts."""
     earlier = _output.replace(target=_Target(level=level, sink=sink))
     try:
--- a/dotterelpaddle/tests/test_line_logs.py
+++ b/dotterelpaddle/tests/test_line_logs.py
@@ -15,7 +15,7 @@
     LINES_DROPPED_EVENT,
     LineSink,
 )
-from dotterelpaddle.logs import Level, get_logger, logs_to
+from dotterelpaddle.logs import Level, get_logger, log_to_sink
 
 if TYPE_CHECKING:
     from collections.abc import Iterator
@@ -46,7 +46,7 @@
 @contextmanager
 def _world() -> Iterator[World]:
     world = World()
-    with logs_to(level=Level.INFO, sink=world.sink):
+    with log_to_sink(level=Level.INFO, sink=world.sink):
         yield world
 
 
