--- a/dotterelpaddle/metrics.py
+++ b/dotterelpaddle/metrics.py
@@ -10,7 +10,7 @@
 from aioprometheus import Counter, Gauge, Histogram, Registry
 from aioprometheus.formats import text
 
-LATENCY_BUCKETS = (
+LATENCY_BUCKETS_SECONDS = (
     0.001,
     0.002,
     0.004,
@@ -43,7 +43,11 @@
         return Gauge(f"dotterelpaddle_{name}", doc, registry=self._registry)
 
     def histogram(
-        self, *, name: str, doc: str, buckets: tuple[float, ...] = LATENCY_BUCKETS
+        self,
+        *,
+        name: str,
+        doc: str,
+        buckets: tuple[float, ...] = LATENCY_BUCKETS_SECONDS,
     ) -> Histogram:
         """Make a histogram; `observe(labels, value)` adds to it.
 
