--- a/dotterelpaddle/network.py
+++ b/dotterelpaddle/network.py
@@ -21,7 +21,7 @@
 
     from dotterelpaddle.links import Links
 
-POLL_INTERVAL = 0.02
+LINK_POLL_SECONDS = 0.02
 """Seconds between looks at a link that is cut."""
 
 
@@ -199,6 +199,6 @@
     patience = math.inf if timeout is None else timeout
     with anyio.move_on_after(patience):
         while not links.is_open(peer=peer):
-            await anyio.sleep(POLL_INTERVAL)
+            await anyio.sleep(LINK_POLL_SECONDS)
         return
     raise error(f"no packets pass to {peer}")
