--- a/dotterelpaddle/forwarding/client.py
+++ b/dotterelpaddle/forwarding/client.py
@@ -203,9 +203,9 @@
         try:
             sent_at = self._clock()
             connection.stream.read_timeout = call.patience.first_byte
-            connection.stream.more_time = partial(self._more_time, call, sent_at)
+            connection.stream.read_extension = partial(self._more_time, call, sent_at)
             response = await self._exchange(call=call, connection=connection)
-            connection.stream.more_time = None
+            connection.stream.read_extension = None
             self._signs.record_answer_start(
                 endpoint=call.entry.endpoint, sent_at=sent_at
             )
--- a/dotterelpaddle/network.py
+++ b/dotterelpaddle/network.py
@@ -47,12 +47,12 @@
         self._more_time: Callable[[], float] | None = None
 
     @property
-    def more_time(self) -> Callable[[], float] | None:
+    def read_extension(self) -> Callable[[], float] | None:
         """Tells how many more seconds a read waits whose time is up, 0 for none."""
         return self._more_time
 
-    @more_time.setter
-    def more_time(self, more_time: Callable[[], float] | None) -> None:
+    @read_extension.setter
+    def read_extension(self, more_time: Callable[[], float] | None) -> None:
         self._more_time = more_time
 
     @property
--- a/dotterelpaddle/tests/forwarding/test_signs.py
+++ b/dotterelpaddle/tests/forwarding/test_signs.py
@@ -95,7 +95,7 @@
 async def test_read_goes_on_while_there_is_more_time() -> None:
     late = LateStream(late=2)
     linked = _linked(late)
-    linked.more_time = lambda: 0.1
+    linked.read_extension = lambda: 0.1
 
     assert await linked.read(100) == b"answer"
     assert late.timeouts == [0.3, 0.1, 0.1]
@@ -106,7 +106,7 @@
     late = LateStream(late=9)
     linked = _linked(late)
     more = [0.1, -0.02]
-    linked.more_time = lambda: more.pop(0)
+    linked.read_extension = lambda: more.pop(0)
 
     with pytest.raises(httpcore.ReadTimeout):
         await linked.read(100)
