--- a/dotterelpaddle/endpoint/caller.py
+++ b/dotterelpaddle/endpoint/caller.py
@@ -168,7 +168,7 @@
 async def _exchange(
     *, endpoint: Endpoint, connection: Connection, call: Call, observe: Observer
 ) -> httpcore.Response:
-    before = connection.stream.written
+    before = connection.stream.bytes_written
     try:
         return await connection.http.handle_async_request(
             _request(endpoint=endpoint, call=call)
@@ -187,7 +187,7 @@
             f"the connection broke before an answer: {error}", peer=endpoint.name
         ) from error
     finally:
-        if connection.stream.written > before:
+        if connection.stream.bytes_written > before:
             observe(Evidence.SENT)
 
 
--- a/dotterelpaddle/forwarding/client.py
+++ b/dotterelpaddle/forwarding/client.py
@@ -270,7 +270,7 @@
         self, *, call: ForwardCall, connection: Connection
     ) -> httpcore.Response:
         endpoint = call.entry.endpoint
-        before, received = connection.stream.written, connection.stream.received
+        before, received = connection.stream.bytes_written, connection.stream.received
         try:
             return await connection.http.handle_async_request(self._request(call=call))
         except httpcore.LocalProtocolError as error:
@@ -291,7 +291,7 @@
                 f"the connection broke before an answer: {error}", peer=endpoint
             ) from error
         finally:
-            if connection.stream.written > before:
+            if connection.stream.bytes_written > before:
                 call.observe(Evidence.SENT)
 
     def _request(self, *, call: ForwardCall) -> httpcore.Request:
--- a/dotterelpaddle/network.py
+++ b/dotterelpaddle/network.py
@@ -65,7 +65,7 @@
         self._read_timeout = seconds
 
     @property
-    def written(self) -> int:
+    def bytes_written(self) -> int:
         """Bytes that were given to the connection so far."""
         return self._written
 
