--- a/dotterelpaddle/forwarding/client.py
+++ b/dotterelpaddle/forwarding/client.py
@@ -270,7 +270,10 @@
         self, *, call: ForwardCall, connection: Connection
     ) -> httpcore.Response:
         endpoint = call.entry.endpoint
-        before, received = connection.stream.bytes_written, connection.stream.received
+        before, received = (
+            connection.stream.bytes_written,
+            connection.stream.bytes_received,
+        )
         try:
             return await connection.http.handle_async_request(self._request(call=call))
         except httpcore.LocalProtocolError as error:
@@ -285,7 +288,7 @@
                 "the request could not be sent", step=Step.SEND, peer=endpoint
             ) from error
         except (httpcore.NetworkError, httpcore.ProtocolError) as error:
-            lost = connection.reused and connection.stream.received == received
+            lost = connection.reused and connection.stream.bytes_received == received
             kind = IdleConnectionLost if lost else AnswerBroken
             raise kind(
                 f"the connection broke before an answer: {error}", peer=endpoint
--- a/dotterelpaddle/network.py
+++ b/dotterelpaddle/network.py
@@ -70,7 +70,7 @@
         return self._written
 
     @property
-    def received(self) -> int:
+    def bytes_received(self) -> int:
         """Bytes that came from the other end so far."""
         return self._received
 
