--- a/dotterelpaddle/forwarding/client.py
+++ b/dotterelpaddle/forwarding/client.py
@@ -357,6 +357,9 @@
     Bytes to read after a whole answer belong to no request; bytes to write are
     the rest of a body whose answer came early.
     """
-    if connection.stream.get_extra_info("is_readable") or connection.stream.unsent:
+    if (
+        connection.stream.get_extra_info("is_readable")
+        or connection.stream.has_unsent_bytes
+    ):
         await connection.aclose()
     await pool.release(connection=connection)
--- a/dotterelpaddle/network.py
+++ b/dotterelpaddle/network.py
@@ -75,7 +75,7 @@
         return self._received
 
     @property
-    def unsent(self) -> bool:
+    def has_unsent_bytes(self) -> bool:
         """Whether bytes that were written have not left yet."""
         return bool(self._held or self._stream.get_extra_info("unsent"))
 
