--- a/dotterelpaddle/pipeline.py
+++ b/dotterelpaddle/pipeline.py
@@ -156,20 +156,23 @@
 """One step of a pipeline."""
 
 
-E = TypeVar("E")
+ExchangeT = TypeVar("E")
 """The exchange of a pipeline."""
 
 
 def compose(
     *,
-    filters: tuple[Callable[[E, Callable[[E], Awaitable[None]]], Awaitable[None]], ...],
-) -> Callable[[E], Awaitable[None]]:
+    filters: tuple[
+        Callable[[ExchangeT, Callable[[ExchangeT], Awaitable[None]]], Awaitable[None]],
+        ...,
+    ],
+) -> Callable[[ExchangeT], Awaitable[None]]:
     """Join filters into one callable; the last filter must not call the rest."""
 
-    async def _end(exchange: E) -> None:
+    async def _end(exchange: ExchangeT) -> None:
         raise AssertionError("the last filter of a pipeline called the rest")
 
-    rest: Callable[[E], Awaitable[None]] = _end
+    rest: Callable[[ExchangeT], Awaitable[None]] = _end
     for step in reversed(filters):
         rest = _bind(step=step, rest=rest)
     return rest
@@ -177,10 +180,12 @@
 
 def _bind(
     *,
-    step: Callable[[E, Callable[[E], Awaitable[None]]], Awaitable[None]],
-    rest: Callable[[E], Awaitable[None]],
-) -> Callable[[E], Awaitable[None]]:
-    async def _call(exchange: E) -> None:
+    step: Callable[
+        [ExchangeT, Callable[[ExchangeT], Awaitable[None]]], Awaitable[None]
+    ],
+    rest: Callable[[ExchangeT], Awaitable[None]],
+) -> Callable[[ExchangeT], Awaitable[None]]:
+    async def _call(exchange: ExchangeT) -> None:
         await step(exchange, rest)
 
     return _call
