--- a/dotterelpaddle/backing/connection.py
+++ b/dotterelpaddle/backing/connection.py
@@ -203,12 +203,12 @@
         except TimeoutError as error:
             await self._retire_pool()
             raise self._failure(
-                request=request, sent=progress.sent, cause="no answer in time"
+                request=request, sent=progress.may_have_sent, cause="no answer in time"
             ) from error
         except CONNECTION_ERRORS as error:
             cause = str(error) or type(error).__name__
             raise self._failure(
-                request=request, sent=progress.sent, cause=cause
+                request=request, sent=progress.may_have_sent, cause=cause
             ) from error
         if self._retired:
             await self._close_unused()
--- a/dotterelpaddle/operator/exchange.py
+++ b/dotterelpaddle/operator/exchange.py
@@ -141,7 +141,7 @@
         self, *, request: OperatorRequest, progress: SendProgress, why: Exception
     ) -> Exception:
         reason = str(why) or type(why).__name__
-        if not progress.sent:
+        if not progress.may_have_sent:
             return _NotSent(reason)
         if request.attempt:
             return RecordOutcomeUnknown(
--- a/dotterelpaddle/send_progress.py
+++ b/dotterelpaddle/send_progress.py
@@ -12,13 +12,13 @@
     """Whether bytes of one request may have left this host.
 
     Attributes:
-        sent: Whether they may.
+        may_have_sent: Whether they may.
     """
 
     def __init__(self) -> None:
-        self.sent = False
+        self.may_have_sent = False
 
     async def trace(self, event: str, info: dict[str, Any]) -> None:
         """Take in an event; give it to httpcore as the extension ``trace``."""
         if event.endswith(FIRST_SENDING_EVENT):
-            self.sent = True
+            self.may_have_sent = True
