--- a/dotterelpaddle/transport.py
+++ b/dotterelpaddle/transport.py
@@ -20,7 +20,7 @@
     import ssl
     from collections.abc import Iterable
 
-MAX_BUFFERED = 256 * 1024
+MAX_BUFFERED_BYTES = 256 * 1024
 """Received bytes above which nothing more is read from the socket."""
 
 
@@ -54,7 +54,7 @@
     def data_received(self, data: bytes) -> None:
         self._parts.append(data)
         self._size += len(data)
-        if self._size > MAX_BUFFERED and not self._paused:
+        if self._size > MAX_BUFFERED_BYTES and not self._paused:
             self._paused = True
             self.transport.pause_reading()
         _wake(self._reader)
