--- a/dotterelpaddle/transport.py
+++ b/dotterelpaddle/transport.py
@@ -30,7 +30,7 @@
     def __init__(self) -> None:
         self.transport: asyncio.Transport
         self.failure: Exception | None = None
-        self.ended = False
+        self.closed = False
         self._parts: list[bytes] = []
         self._size = 0
         self._paused = False
@@ -60,12 +60,12 @@
         _wake(self._reader)
 
     def eof_received(self) -> bool:
-        self.ended = True
+        self.closed = True
         _wake(self._reader)
         return False
 
     def connection_lost(self, exc: Exception | None) -> None:
-        self.ended = True
+        self.closed = True
         self.failure = exc
         if self._timer is not None:
             self._timer.cancel()
@@ -122,7 +122,7 @@
         _expire(self._reader)
 
     async def wait_for_room(self) -> None:
-        while self._writer is not None and not self.ended:
+        while self._writer is not None and not self.closed:
             await asyncio.shield(self._writer)
 
 
@@ -139,7 +139,7 @@
     async def read(self, max_bytes: int, timeout: float | None = None) -> bytes:
         """Read all that has come in, or wait for some; empty at the end."""
         protocol = self._protocol
-        if not protocol.has_data and not protocol.ended:
+        if not protocol.has_data and not protocol.closed:
             await protocol.wait_for_data(timeout=timeout)
         if protocol.has_data:
             return protocol.take()
@@ -150,7 +150,7 @@
     async def write(self, buffer: bytes, timeout: float | None = None) -> None:
         """Write all bytes; waits while the other end is slow."""
         protocol = self._protocol
-        if protocol.ended or protocol.transport.is_closing():
+        if protocol.closed or protocol.transport.is_closing():
             raise httpcore.WriteError("the connection is closed")
         protocol.transport.write(buffer)
         if protocol.has_room:
@@ -190,7 +190,7 @@
         match info:
             case "is_readable":
                 # An idle connection with something to read has been closed.
-                return protocol.has_data or protocol.ended
+                return protocol.has_data or protocol.closed
             case "unsent":
                 return protocol.transport.get_write_buffer_size()
             case "client_addr":
