--- a/dotterelpaddle/transport.py
+++ b/dotterelpaddle/transport.py
@@ -44,7 +44,7 @@
         return bool(self._parts)
 
     @property
-    def has_room(self) -> bool:
+    def can_write(self) -> bool:
         return self._writer is None
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
@@ -153,7 +153,7 @@
         if protocol.closed or protocol.transport.is_closing():
             raise httpcore.WriteError("the connection is closed")
         protocol.transport.write(buffer)
-        if protocol.has_room:
+        if protocol.can_write:
             return
         with anyio.move_on_after(timeout) as scope:
             await protocol.wait_for_room()
