--- a/dotterelpaddle/transport.py
+++ b/dotterelpaddle/transport.py
@@ -121,7 +121,7 @@
             return
         _expire(self._reader)
 
-    async def wait_for_room(self) -> None:
+    async def wait_until_writable(self) -> None:
         while self._writer is not None and not self.closed:
             await asyncio.shield(self._writer)
 
@@ -156,7 +156,7 @@
         if protocol.can_write:
             return
         with anyio.move_on_after(timeout) as scope:
-            await protocol.wait_for_room()
+            await protocol.wait_until_writable()
         if scope.cancelled_caught:
             raise httpcore.WriteTimeout("the other end reads nothing")
 
