--- a/dotterelpaddle/transport.py
+++ b/dotterelpaddle/transport.py
@@ -80,7 +80,7 @@
         _wake(self._writer)
         self._writer = None
 
-    def take(self) -> bytes:
+    def take_data(self) -> bytes:
         """Return all that has come in."""
         parts, self._parts, self._size = self._parts, [], 0
         if self._paused:
@@ -142,7 +142,7 @@
         if not protocol.has_data and not protocol.closed:
             await protocol.wait_for_data(timeout=timeout)
         if protocol.has_data:
-            return protocol.take()
+            return protocol.take_data()
         if protocol.failure is not None:
             raise httpcore.ReadError(str(protocol.failure))
         return b""
