--- a/dotterelpaddle/daemon/process.py
+++ b/dotterelpaddle/daemon/process.py
@@ -16,7 +16,7 @@
 from dotterelpaddle.logs import Level, get_logger, log_to_sink
 from dotterelpaddle.platform.documents import PlatformDocumentDecoder
 from dotterelpaddle.platform.engines import EngineCacheReader
-from dotterelpaddle.platform.protocols import PlatformProtocols
+from dotterelpaddle.platform.protocols import PlatformCodec
 from dotterelpaddle.platform.store import StoreSource
 
 if TYPE_CHECKING:
@@ -47,7 +47,7 @@
     source = StoreSource(address=settings.store, documents=documents, links=links)
     surroundings = Dependencies(
         source=source,
-        protocols=PlatformProtocols(),
+        protocols=PlatformCodec(),
         documents=documents,
         caches_reader=EngineCacheReader(links=links),
         links=links,
--- a/dotterelpaddle/platform/protocols.py
+++ b/dotterelpaddle/platform/protocols.py
@@ -33,7 +33,7 @@
 _PART = re.compile(r"\s*([0-9a-fA-F]+):(\d+)\s*")
 
 
-class PlatformProtocols:
+class PlatformCodec:
     """Translates callers' requests and endpoints' answers."""
 
     def decode_request(self, *, scope: Mapping[str, Any]) -> ForwardRequest:
--- a/dotterelpaddle/tests/forwarding/crash_world.py
+++ b/dotterelpaddle/tests/forwarding/crash_world.py
@@ -21,7 +21,7 @@
 from dotterelpaddle.ids import EndpointName, FailureDomain, Revision
 from dotterelpaddle.platform.documents import PlatformDocumentDecoder
 from dotterelpaddle.platform.names import Header
-from dotterelpaddle.platform.protocols import PlatformProtocols
+from dotterelpaddle.platform.protocols import PlatformCodec
 from dotterelpaddle.standins.runner import (
     STREAM_PATH,
     Behaviour,
@@ -248,7 +248,7 @@
             address=host.address,
             link=host.link,
             clock=anyio.current_time,
-            protocols=PlatformProtocols(),
+            protocols=PlatformCodec(),
         )
         datagrams: Any = HostDatagrams(router=host, send=self._fly)
         host.parts, host.datagrams = parts, datagrams
--- a/dotterelpaddle/tests/forwarding/harness.py
+++ b/dotterelpaddle/tests/forwarding/harness.py
@@ -21,7 +21,7 @@
 from dotterelpaddle.platform.documents import PlatformDocumentDecoder
 from dotterelpaddle.platform.engines import EngineCacheReader
 from dotterelpaddle.platform.names import Header, Table
-from dotterelpaddle.platform.protocols import PlatformProtocols
+from dotterelpaddle.platform.protocols import PlatformCodec
 from dotterelpaddle.platform.store import StoreSource
 from dotterelpaddle.standins.runner import RunnerStandin, run_runner
 from dotterelpaddle.standins.store import StoreStandin, run_store
@@ -150,7 +150,7 @@
                 settings=settings,
                 surroundings=Dependencies(
                     source=source,
-                    protocols=PlatformProtocols(),
+                    protocols=PlatformCodec(),
                     documents=PlatformDocumentDecoder(),
                     caches_reader=EngineCacheReader(links=links),
                     links=links,
--- a/dotterelpaddle/tests/platform/test_protocols.py
+++ b/dotterelpaddle/tests/platform/test_protocols.py
@@ -12,10 +12,10 @@
 from dotterelpaddle.ids import AccountId, EndpointName, Revision
 from dotterelpaddle.platform.documents import PlatformDocumentDecoder
 from dotterelpaddle.platform.names import Header
-from dotterelpaddle.platform.protocols import PlatformProtocols
+from dotterelpaddle.platform.protocols import PlatformCodec
 from dotterelpaddle.tests.forwarding.harness import configuration, route
 
-PROTOCOLS, DOCUMENTS = PlatformProtocols(), PlatformDocumentDecoder()
+PROTOCOLS, DOCUMENTS = PlatformCodec(), PlatformDocumentDecoder()
 ENTRY = {
     "service": "records",
     "address": "10.0.0.1:80",
