--- a/dotterelpaddle/forwarding/interface.py
+++ b/dotterelpaddle/forwarding/interface.py
@@ -70,7 +70,7 @@
         time_left: Seconds that the caller waits from now, None if unsaid.
         model: Model that the caller asks for, empty for none.
         prompt: Parts of the prompt, in order; the last is the request's own.
-        last_event: Id of the last event that the caller has, empty for none.
+        last_event_id: Id of the last event that the caller has, empty for none.
     """
 
     request_id: RequestId
@@ -83,7 +83,7 @@
     time_left: float | None = None
     model: ModelId
     prompt: tuple[PromptPart, ...] = ()
-    last_event: str = ""
+    last_event_id: str = ""
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
--- a/dotterelpaddle/forwarding/relays.py
+++ b/dotterelpaddle/forwarding/relays.py
@@ -65,7 +65,7 @@
     @property
     def last_event_id(self) -> str:
         """What the caller said, as it is not ours to change."""
-        return self._exchange.request.last_event
+        return self._exchange.request.last_event_id
 
     async def send(self, *, call: ForwardCall) -> AttemptResult:
         """Send one attempt."""
@@ -88,7 +88,7 @@
     def __init__(self, *, exchange: ForwardExchange, client: ForwardClient) -> None:
         self._exchange = exchange
         self._client = client
-        self._last_event = exchange.request.last_event
+        self._last_event = exchange.request.last_event_id
 
     @property
     def last_event_id(self) -> str:
--- a/dotterelpaddle/platform/protocols.py
+++ b/dotterelpaddle/platform/protocols.py
@@ -67,7 +67,7 @@
             time_left=_time_left(headers),
             model=ModelId(_text(headers, Header.MODEL)),
             prompt=_prompt(_text(headers, Header.PROMPT_PREFIX)),
-            last_event=_text(headers, Header.LAST_EVENT_ID),
+            last_event_id=_text(headers, Header.LAST_EVENT_ID),
         )
 
     def encode_headers(
--- a/dotterelpaddle/tests/forwarding/test_fingerprints.py
+++ b/dotterelpaddle/tests/forwarding/test_fingerprints.py
@@ -24,7 +24,7 @@
 
 def test_next_try_of_a_caller_has_the_same_fingerprint() -> None:
     again = replace(
-        REQUEST, request_id=RequestId("again"), time_left=1.0, last_event="3"
+        REQUEST, request_id=RequestId("again"), time_left=1.0, last_event_id="3"
     )
 
     assert _fingerprint(request=again) == _fingerprint()
--- a/dotterelpaddle/tests/platform/test_protocols.py
+++ b/dotterelpaddle/tests/platform/test_protocols.py
@@ -62,7 +62,7 @@
     assert request.time_left == 1.5
     assert request.prompt[0] == PromptPart(digest="5c1e", tokens=800)
     assert [part.tokens for part in request.prompt] == [800, 410, 250]
-    assert request.last_event == "12"
+    assert request.last_event_id == "12"
     assert (Header.PROMPT_PREFIX, headers[Header.PROMPT_PREFIX]) in request.headers
     assert (Header.MODEL, b"m") in request.headers
 
