--- a/dotterelpaddle/forwarding/attempts.py
+++ b/dotterelpaddle/forwarding/attempts.py
@@ -241,7 +241,7 @@
                 time_left=time_left,
                 account=exchange.account,
                 priority=rank,
-                last_event=relay.last_event_id,
+                last_event_id=relay.last_event_id,
                 fetch_from=source.address if source is not None else None,
             ),
             patience=self._waits.attempt_timeouts(
--- a/dotterelpaddle/forwarding/interface.py
+++ b/dotterelpaddle/forwarding/interface.py
@@ -123,7 +123,7 @@
         time_left: Seconds after which nobody waits any more.
         account: The client account, None on public routes.
         priority: Priority, 0 is the highest; None for the endpoint's default.
-        last_event: Id of the last event that the caller has, empty for none.
+        last_event_id: Id of the last event that the caller has, empty for none.
         fetch_from: Endpoint from whose cache to fetch what it has of the prompt.
     """
 
@@ -131,7 +131,7 @@
     time_left: float
     account: ClientAccount | None
     priority: int | None
-    last_event: str
+    last_event_id: str
     fetch_from: Address | None = None
 
 
--- a/dotterelpaddle/platform/protocols.py
+++ b/dotterelpaddle/platform/protocols.py
@@ -83,9 +83,9 @@
             headers.append(
                 (Header.RANK, b"%d" % min(delivery.priority, LOWEST_PRIORITY))
             )
-        if delivery.last_event:
+        if delivery.last_event_id:
             headers.append(
-                (Header.LAST_EVENT_ID, delivery.last_event.encode("latin-1"))
+                (Header.LAST_EVENT_ID, delivery.last_event_id.encode("latin-1"))
             )
         if delivery.fetch_from is not None:
             headers.append((Header.FETCH_FROM, str(delivery.fetch_from).encode()))
--- a/dotterelpaddle/tests/platform/test_protocols.py
+++ b/dotterelpaddle/tests/platform/test_protocols.py
@@ -91,7 +91,7 @@
         time_left=1.2345,
         account=ClientAccount(name=AccountId("acme")),
         priority=12,
-        last_event="3",
+        last_event_id="3",
     )
 
     headers = dict(PROTOCOLS.encode_headers(request=request, delivery=delivery))
