--- a/dotterelpaddle/forwarding/attempts.py
+++ b/dotterelpaddle/forwarding/attempts.py
@@ -129,7 +129,7 @@
                     relay=relay,
                     choice=choice,
                     fresh=isinstance(failure, IdleConnectionLost),
-                    connect_time=tried.connect_time(endpoint=choice.entry.endpoint),
+                    connect_time=tried.connect_timeout(endpoint=choice.entry.endpoint),
                 )
             except EndpointError as error:
                 failure = error
--- a/dotterelpaddle/forwarding/progress.py
+++ b/dotterelpaddle/forwarding/progress.py
@@ -56,7 +56,7 @@
                 self._asked.add(endpoint)
                 self._unconnected.discard(endpoint)
 
-    def connect_time(self, *, endpoint: EndpointId) -> float:
+    def connect_timeout(self, *, endpoint: EndpointId) -> float:
         """Seconds until a connection to an endpoint must stand."""
         return (
             LAST_CONNECT_TIMEOUT_SECONDS
