--- a/dotterelpaddle/daemon/process.py
+++ b/dotterelpaddle/daemon/process.py
@@ -49,7 +49,7 @@
         source=source,
         protocols=PlatformCodec(),
         documents=documents,
-        caches_reader=EngineCacheReader(links=links),
+        cache_reader=EngineCacheReader(links=links),
         links=links,
         clock=monotonic,
     )
--- a/dotterelpaddle/forwarding/parts.py
+++ b/dotterelpaddle/forwarding/parts.py
@@ -71,7 +71,7 @@
         source: Where configuration and endpoints are kept.
         protocols: Translates callers' requests and endpoints' answers.
         documents: Decodes what the source holds.
-        caches_reader: Asks endpoints for what they have cached.
+        cache_reader: Asks endpoints for what they have cached.
         links: The process's links.
         clock: Monotonic clock.
     """
@@ -79,7 +79,7 @@
     source: Source
     protocols: WireCodec
     documents: DocumentDecoder
-    caches_reader: CacheReader
+    cache_reader: CacheReader
     links: Links
     clock: Clock
 
@@ -324,7 +324,7 @@
                 word=word,
                 shards=shards,
                 quiet=knowledge.quiet,
-                reader=surroundings.caches_reader,
+                reader=surroundings.cache_reader,
                 failure_domain=settings.failure_domain,
                 clock=clock,
             ),
--- a/dotterelpaddle/tests/forwarding/harness.py
+++ b/dotterelpaddle/tests/forwarding/harness.py
@@ -152,7 +152,7 @@
                     source=source,
                     protocols=PlatformCodec(),
                     documents=PlatformDocumentDecoder(),
-                    caches_reader=EngineCacheReader(links=links),
+                    cache_reader=EngineCacheReader(links=links),
                     links=links,
                     clock=monotonic,
                 ),
--- a/dotterelpaddle/tests/owners/hosts.py
+++ b/dotterelpaddle/tests/owners/hosts.py
@@ -143,7 +143,7 @@
             source=unused,
             protocols=protocols,
             documents=unused,
-            caches_reader=unused,
+            cache_reader=unused,
             links=Links(),
             clock=clock,
         ),
