--- a/dotterelpaddle/forwarding/parts.py
+++ b/dotterelpaddle/forwarding/parts.py
@@ -147,7 +147,7 @@
     fetcher: Fetcher
     metrics: MetricsPage
 
-    def announce_leaving(self) -> None:
+    def start_draining(self) -> None:
         """Let callers go elsewhere, and other routers take over."""
         self.app.start_draining()
         self.state.directory.announce_leaving()
--- a/dotterelpaddle/forwarding/router.py
+++ b/dotterelpaddle/forwarding/router.py
@@ -116,7 +116,7 @@
             peers=datagrams.address,
         )
         log.info("router_stopping", in_flight=app.in_flight)
-        parts.announce_leaving()
+        parts.start_draining()
         await anyio.sleep(settings.drain_time)
         # Callers' server ends first: it takes no new connection, closes idle ones,
         # and waits for the requests that it has.
--- a/dotterelpaddle/tests/forwarding/crash_world.py
+++ b/dotterelpaddle/tests/forwarding/crash_world.py
@@ -261,7 +261,7 @@
             self._tell(parts, names=tuple(self._entries), whole=True)
             parts.state.caches.mark_populated()
             await host.stopping.wait()
-            parts.announce_leaving()
+            parts.start_draining()
             while parts.app.in_flight:
                 await anyio.sleep(0.01)
             tasks.cancel_scope.cancel()
--- a/dotterelpaddle/tests/owners/fleet.py
+++ b/dotterelpaddle/tests/owners/fleet.py
@@ -283,7 +283,7 @@
                 await anyio.sleep(0.05)
                 self._tell_all(parts)
                 await router.stopping.wait()
-                parts.announce_leaving()
+                parts.start_draining()
                 await anyio.sleep(self._leave_time)
                 while router.in_flight:
                     await anyio.sleep(0.01)
