--- a/dotterelpaddle/forwarding/parts.py
+++ b/dotterelpaddle/forwarding/parts.py
@@ -126,7 +126,7 @@
         client: Client of endpoints.
         follower: Reads from the source.
         reachability: Tries connections to endpoints that could not be reached.
-        endings: Finds out whether endpoints that broke off have ended.
+        termination_prober: Finds out whether endpoints that broke off have ended.
         isolation: Tells whether other routers serve callers better.
         exchange: Exchanges reports with other routers.
         owners: Exchanges questions and counts with owners of shards.
@@ -140,7 +140,7 @@
     client: ForwardClient
     follower: Follower
     reachability: Reachability
-    endings: TerminationProber
+    termination_prober: TerminationProber
     isolation: IsolationDetector
     exchange: PeerExchange
     owners: OwnerExchange
@@ -284,7 +284,7 @@
         client=client,
         follower=follower,
         reachability=reachability,
-        endings=endings,
+        termination_prober=endings,
         isolation=isolation,
         exchange=PeerExchange(
             view=knowledge.view,
--- a/dotterelpaddle/forwarding/router.py
+++ b/dotterelpaddle/forwarding/router.py
@@ -81,7 +81,7 @@
     ):
         tasks.start_soon(parts.follower.run)
         tasks.start_soon(parts.reachability.run)
-        tasks.start_soon(parts.endings.run)
+        tasks.start_soon(parts.termination_prober.run)
         tasks.start_soon(parts.isolation.run)
         tasks.start_soon(_keep_house, parts)
         control = await stack.enter_async_context(
--- a/dotterelpaddle/tests/forwarding/crash_world.py
+++ b/dotterelpaddle/tests/forwarding/crash_world.py
@@ -257,7 +257,7 @@
             tasks.start_soon(parts.exchange.run, datagrams, host.address)
             tasks.start_soon(parts.owners.run, datagrams)
             tasks.start_soon(parts.reachability.run)
-            tasks.start_soon(parts.endings.run)
+            tasks.start_soon(parts.termination_prober.run)
             self._tell(parts, names=tuple(self._entries), whole=True)
             parts.state.caches.mark_populated()
             await host.stopping.wait()
