--- a/dotterelpaddle/peers/exchange.py
+++ b/dotterelpaddle/peers/exchange.py
@@ -165,7 +165,7 @@
         written: dict[tuple[TotalsScope, ReplyRequest], bytes] = {}
         for recipient in recipients:
             # Only an aggregate for one router differs from recipient to recipient.
-            kind = (recipient.scope, recipient.ask)
+            kind = (recipient.scope, recipient.reply_request)
             content = written.get(kind)
             if content is None:
                 report = self._addressed(report=base, recipient=recipient, uses=uses)
@@ -184,7 +184,7 @@
         """Fill in what differs from recipient to recipient."""
         return replace(
             report,
-            ask=recipient.ask,
+            ask=recipient.reply_request,
             share=self._share(own=report.share, recipient=recipient),
             owners=self._owners_told(recipient=recipient),
             uses=tuple(
--- a/dotterelpaddle/peers/plan.py
+++ b/dotterelpaddle/peers/plan.py
@@ -32,13 +32,13 @@
         address: Where it goes.
         scope: Whose requests it counts.
         router: The recipient, None if only its address is known.
-        ask: What the recipient is asked in return.
+        reply_request: What the recipient is asked in return.
     """
 
     address: Address
     scope: TotalsScope = TotalsScope.ROUTER
     router: RouterId | None = None
-    ask: ReplyRequest = ReplyRequest.NOTHING
+    reply_request: ReplyRequest = ReplyRequest.NOTHING
 
 
 class ReportPlan:
@@ -85,7 +85,9 @@
         )
         asked = [
             Recipient(
-                address=name.address, router=name.router, ask=ReplyRequest.AGGREGATE
+                address=name.address,
+                router=name.router,
+                reply_request=ReplyRequest.AGGREGATE,
             )
             for name in aggregators
             if name != own
@@ -132,5 +134,6 @@
 
 def _asking_for_answers(addresses: list[Address]) -> list[Recipient]:
     return [
-        Recipient(address=address, ask=ReplyRequest.ANSWER) for address in addresses
+        Recipient(address=address, reply_request=ReplyRequest.ANSWER)
+        for address in addresses
     ]
