--- a/dotterelpaddle/forwarding/client.py
+++ b/dotterelpaddle/forwarding/client.py
@@ -299,7 +299,7 @@
 
     def _request(self, *, call: ForwardCall) -> httpcore.Request:
         headers = self._protocols.encode_headers(
-            request=call.request, delivery=call.delivery
+            request=call.request, metadata=call.delivery
         )
         if call.body or call.request.method in ("POST", "PUT", "PATCH"):
             headers.append((b"content-length", str(len(call.body)).encode()))
--- a/dotterelpaddle/forwarding/interface.py
+++ b/dotterelpaddle/forwarding/interface.py
@@ -146,7 +146,7 @@
         """
 
     def encode_headers(
-        self, *, request: ForwardRequest, delivery: RequestMetadata
+        self, *, request: ForwardRequest, metadata: RequestMetadata
     ) -> Headers:
         """Make the headers of a request to an endpoint."""
 
--- a/dotterelpaddle/platform/protocols.py
+++ b/dotterelpaddle/platform/protocols.py
@@ -71,24 +71,24 @@
         )
 
     def encode_headers(
-        self, *, request: ForwardRequest, delivery: RequestMetadata
+        self, *, request: ForwardRequest, metadata: RequestMetadata
     ) -> Headers:
         """Make the headers of a request to an endpoint."""
         headers = list(request.headers)
-        headers.append((Header.EXPECTED_ENDPOINT, delivery.endpoint.encode()))
-        headers.append((Header.TIME_LEFT_MS, b"%d" % (delivery.time_left * 1000)))
-        if delivery.account is not None:
-            headers.append((Header.ACCOUNT, delivery.account.name.encode()))
-        if delivery.priority is not None and request.prompt:
+        headers.append((Header.EXPECTED_ENDPOINT, metadata.endpoint.encode()))
+        headers.append((Header.TIME_LEFT_MS, b"%d" % (metadata.time_left * 1000)))
+        if metadata.account is not None:
+            headers.append((Header.ACCOUNT, metadata.account.name.encode()))
+        if metadata.priority is not None and request.prompt:
             headers.append(
-                (Header.RANK, b"%d" % min(delivery.priority, LOWEST_PRIORITY))
+                (Header.RANK, b"%d" % min(metadata.priority, LOWEST_PRIORITY))
             )
-        if delivery.last_event_id:
+        if metadata.last_event_id:
             headers.append(
-                (Header.LAST_EVENT_ID, delivery.last_event_id.encode("latin-1"))
+                (Header.LAST_EVENT_ID, metadata.last_event_id.encode("latin-1"))
             )
-        if delivery.fetch_from is not None:
-            headers.append((Header.FETCH_FROM, str(delivery.fetch_from).encode()))
+        if metadata.fetch_from is not None:
+            headers.append((Header.FETCH_FROM, str(metadata.fetch_from).encode()))
         return headers
 
     def decode_answer(
--- a/dotterelpaddle/tests/platform/test_protocols.py
+++ b/dotterelpaddle/tests/platform/test_protocols.py
@@ -94,7 +94,7 @@
         last_event_id="3",
     )
 
-    headers = dict(PROTOCOLS.encode_headers(request=request, delivery=delivery))
+    headers = dict(PROTOCOLS.encode_headers(request=request, metadata=delivery))
 
     assert headers[Header.EXPECTED_ENDPOINT] == b"runner-1"
     assert headers[Header.TIME_LEFT_MS] == b"1234"
