--- a/dotterelpaddle/forwarding/follower.py
+++ b/dotterelpaddle/forwarding/follower.py
@@ -188,7 +188,7 @@
                 return after
             read = answer
         self._configuration_at = self._note_answer()
-        self._view.apply_operator_update(read=read)
+        self._view.apply_operator_update(update=read)
         if after is None and read.configuration is None:
             # Nothing is configured yet; the first version comes any moment.
             await anyio.sleep(MIN_RETRY_DELAY_SECONDS)
@@ -228,7 +228,7 @@
                 after=after, wait=ENDPOINTS_WAIT_SECONDS
             )
         self._endpoints_at = self._note_answer()
-        self._view.apply_endpoints_update(read=read)
+        self._view.apply_endpoints_update(update=read)
         return read.revision
 
     async def _until_due(self) -> None:
--- a/dotterelpaddle/forwarding/view.py
+++ b/dotterelpaddle/forwarding/view.py
@@ -64,7 +64,7 @@
         self._entry_observer: Callable[[EndpointEntry], None] | None = None
         self._configuration: FleetConfiguration | None = None
         self._routes: dict[str, tuple[ForwardRoute, ...]] = {}
-        self._used_services: frozenset[ServiceName] = frozenset()
+        self._routed_services: frozenset[ServiceName] = frozenset()
         self._entries: dict[EndpointName, EndpointEntry] = {}
         self._changed_at: dict[EndpointName, Revision] = {}
         self._removed = RemovedEntries(clock=clock)
@@ -151,7 +151,7 @@
         return tuple(
             entry
             for entry in self._entries.values()
-            if entry.service in self._used_services
+            if entry.service in self._routed_services
         )
 
     def on_entry(self, observer: Callable[[EndpointEntry], None]) -> None:
@@ -225,23 +225,23 @@
         """Note that the platform is back; entries may be missing for a while."""
         self._removed.note_platform_recovery()
 
-    def apply_operator_update(self, *, read: OperatorUpdate) -> None:
+    def apply_operator_update(self, *, update: OperatorUpdate) -> None:
         """Take in what the operator wants.
 
         Evacuations come first: who has a configuration serves, and knows them by then.
         """
-        if read.is_snapshot:
-            told = frozenset(each.failure_domain for each in read.evacuations)
-            kept = self._evacuations.domains & read.undecodable
+        if update.is_snapshot:
+            told = frozenset(each.failure_domain for each in update.evacuations)
+            kept = self._evacuations.domains & update.undecodable
             self._evacuations.apply_snapshot(
-                told=EvacuationSnapshot(revision=read.revision, domains=told | kept)
+                told=EvacuationSnapshot(revision=update.revision, domains=told | kept)
             )
         else:
             self._evacuations.apply_changes(
-                changes=read.evacuations, revision=read.revision
+                changes=update.evacuations, revision=update.revision
             )
-        if read.configuration is not None:
-            self.apply_configuration(configuration=read.configuration)
+        if update.configuration is not None:
+            self.apply_configuration(configuration=update.configuration)
 
     def apply_configuration(self, *, configuration: FleetConfiguration) -> bool:
         """Put a configuration in force unless a later one is.
@@ -259,31 +259,31 @@
         )
         self._configuration = configuration
         self._routes = routes_by_host(routes=configuration.routes)
-        self._used_services = routed_services(routes=configuration.routes)
+        self._routed_services = routed_services(routes=configuration.routes)
         self._note_complete()
         return True
 
-    def apply_endpoints_update(self, *, read: EndpointsUpdate) -> bool:
+    def apply_endpoints_update(self, *, update: EndpointsUpdate) -> bool:
         """Take in entries, or changes of them.
 
         Returns:
             Whether anything changed here.
         """
         changed = False
-        for entry in read.entries:
+        for entry in update.entries:
             changed = self._put(entry=entry) or changed
-        for name, revision in read.removed.items():
+        for name, revision in update.removed.items():
             changed = self._remove(name, revision) or changed
-        if read.is_snapshot:
-            present = {entry.name for entry in read.entries}
+        if update.is_snapshot:
+            present = {entry.name for entry in update.entries}
             for name in tuple(self._entries):
                 if name not in present:
-                    changed = self._remove(name, read.revision) or changed
+                    changed = self._remove(name, update.revision) or changed
         known = self._endpoints_revision
         if known is None:
-            self._changes_from = read.revision
-        if known is None or read.revision > known:
-            self._endpoints_revision = read.revision
+            self._changes_from = update.revision
+        if known is None or update.revision > known:
+            self._endpoints_revision = update.revision
         self._note_complete()
         if changed:
             self._index()
--- a/dotterelpaddle/peers/fetching.py
+++ b/dotterelpaddle/peers/fetching.py
@@ -169,7 +169,7 @@
             content=content, documents=self._documents, unusable=self._unusable
         )
         if snapshot.endpoints is not None:
-            self._view.apply_endpoints_update(read=snapshot.endpoints)
+            self._view.apply_endpoints_update(update=snapshot.endpoints)
         if request.uses:
             self._caches.receive(uses=snapshot.uses)
             self._caches.mark_populated()
--- a/dotterelpaddle/tests/forwarding/crash_world.py
+++ b/dotterelpaddle/tests/forwarding/crash_world.py
@@ -329,7 +329,7 @@
             configuration=self._documents.configuration(document=self._configuration)
         )
         view.apply_endpoints_update(
-            read=EndpointsUpdate(
+            update=EndpointsUpdate(
                 revision=revision,
                 entries=tuple(
                     self._documents.endpoint(
--- a/dotterelpaddle/tests/forwarding/test_cold.py
+++ b/dotterelpaddle/tests/forwarding/test_cold.py
@@ -126,7 +126,7 @@
         revision = Revision((self.view.endpoints_revision or 0) + 1)
         told = tuple(replace(entry, revision=revision) for entry in entries)
         self.view.apply_endpoints_update(
-            read=EndpointsUpdate(revision=revision, entries=told, is_snapshot=True)
+            update=EndpointsUpdate(revision=revision, entries=told, is_snapshot=True)
         )
 
     def settle(self) -> None:
--- a/dotterelpaddle/tests/forwarding/test_deltas.py
+++ b/dotterelpaddle/tests/forwarding/test_deltas.py
@@ -40,7 +40,7 @@
     ) -> None:
         revision = Revision(self.revision)
         self.reader.apply_endpoints_update(
-            read=EndpointsUpdate(
+            update=EndpointsUpdate(
                 revision=revision,
                 entries=entries,
                 removed=dict.fromkeys(removed, revision),
@@ -93,14 +93,14 @@
     def hear_late_news(self, data: st.DataObject) -> None:
         if self.late:
             read = data.draw(st.sampled_from(self.late))
-            self.near.apply_endpoints_update(read=read)
+            self.near.apply_endpoints_update(update=read)
 
     def _ask(self, asking: FleetView, told: FleetView) -> None:
         read = told.endpoints_since(revision=asking.endpoints_revision)
         if read is None:
             return
         self.late.append(read)
-        asking.apply_endpoints_update(read=read)
+        asking.apply_endpoints_update(update=read)
 
     @invariant()
     def nobody_is_ahead_of_the_reader(self) -> None:
@@ -115,7 +115,7 @@
 def test_heartbeats_are_not_told() -> None:
     view = FleetView(clock=lambda: 0.0)
     view.apply_endpoints_update(
-        read=EndpointsUpdate(
+        update=EndpointsUpdate(
             revision=Revision(1),
             entries=(make_entry("a"), make_entry("b")),
             is_snapshot=True,
@@ -124,7 +124,7 @@
     beat = make_entry("a", revision=Revision(5))
     left = make_entry("b", revision=Revision(6), state=EndpointState.DRAINING)
     view.apply_endpoints_update(
-        read=EndpointsUpdate(revision=Revision(6), entries=(beat, left))
+        update=EndpointsUpdate(revision=Revision(6), entries=(beat, left))
     )
 
     told = view.endpoints_since(revision=Revision(1))
--- a/dotterelpaddle/tests/forwarding/test_herding.py
+++ b/dotterelpaddle/tests/forwarding/test_herding.py
@@ -52,7 +52,7 @@
     view = FleetView(clock=lambda: 0.0)
     entries = tuple(make_entry(name, slots=64) for name in ENDPOINTS)
     view.apply_endpoints_update(
-        read=EndpointsUpdate(revision=Revision(1), entries=entries, is_snapshot=True)
+        update=EndpointsUpdate(revision=Revision(1), entries=entries, is_snapshot=True)
     )
     shares = TotalsTracker(failure_domain=HERE, clock=lambda: 0.0)
     shares.is_aggregator = False
--- a/dotterelpaddle/tests/forwarding/test_isolation.py
+++ b/dotterelpaddle/tests/forwarding/test_isolation.py
@@ -45,7 +45,7 @@
         view = FleetView(clock=lambda: 0.0)
         entries = tuple(_entry(domain, slots=many) for domain, many in slots.items())
         view.apply_endpoints_update(
-            read=EndpointsUpdate(
+            update=EndpointsUpdate(
                 revision=Revision(1), entries=entries, is_snapshot=True
             )
         )
@@ -140,7 +140,7 @@
     world = _even()
     only = _entry(HERE, slots=1, service="records")
     world.view.apply_endpoints_update(
-        read=EndpointsUpdate(revision=Revision(2), entries=(only,))
+        update=EndpointsUpdate(revision=Revision(2), entries=(only,))
     )
     world.cut(NEAR, FAR)
 
--- a/dotterelpaddle/tests/forwarding/test_leaving.py
+++ b/dotterelpaddle/tests/forwarding/test_leaving.py
@@ -58,7 +58,7 @@
 
     def take(self, *entries: EndpointEntry, revision: int, **fields: object) -> None:
         self.view.apply_endpoints_update(
-            read=EndpointsUpdate(
+            update=EndpointsUpdate(
                 **{  # type: ignore[arg-type]
                     "revision": Revision(revision),
                     "entries": tuple(
--- a/dotterelpaddle/tests/forwarding/test_placement.py
+++ b/dotterelpaddle/tests/forwarding/test_placement.py
@@ -105,7 +105,7 @@
         )
         entries = tuple(self.entry(name) for name in self.endpoints)
         view.apply_endpoints_update(
-            read=EndpointsUpdate(
+            update=EndpointsUpdate(
                 revision=Revision(1), entries=entries, is_snapshot=True
             )
         )
--- a/dotterelpaddle/tests/forwarding/test_starts.py
+++ b/dotterelpaddle/tests/forwarding/test_starts.py
@@ -114,14 +114,14 @@
         entries, removed = self.decoders[router].decode(rows=rows)
         revision = Revision(rows[-1]["ver"])
         read = EndpointsUpdate(revision=revision, entries=entries, removed=removed)
-        self.routers[router].apply_endpoints_update(read=read)
+        self.routers[router].apply_endpoints_update(update=read)
 
     @rule(router=st.integers(0, 1))
     def read_all(self, router: int) -> None:
         entries, _ = self.decoders[router].decode(rows=self.table.values())
         revision = Revision(self.revision)
         read = EndpointsUpdate(revision=revision, entries=entries, is_snapshot=True)
-        self.routers[router].apply_endpoints_update(read=read)
+        self.routers[router].apply_endpoints_update(update=read)
 
     @rule(router=st.integers(0, 1), whole=st.booleans())
     def hear_the_other_router(self, router: int, whole: bool) -> None:
@@ -136,7 +136,7 @@
             content=content, documents=DOCUMENTS, unusable=UnusableEntries()
         )
         if snapshot.endpoints is not None:
-            view.apply_endpoints_update(read=snapshot.endpoints)
+            view.apply_endpoints_update(update=snapshot.endpoints)
 
     @invariant()
     def no_router_goes_back_to_an_earlier_start(self) -> None:
@@ -176,7 +176,7 @@
             name=NAMES[0], document=value, revision=Revision(revision)
         )
         read = EndpointsUpdate(revision=Revision(revision), entries=(entry,))
-        view.apply_endpoints_update(read=read)
+        view.apply_endpoints_update(update=read)
 
 
 def test_row_of_an_earlier_start_does_not_bring_it_back_after_a_removal() -> None:
@@ -185,7 +185,7 @@
     gone = EndpointsUpdate(
         revision=Revision(3), entries=(), removed={NAMES[0]: Revision(3)}
     )
-    view.apply_endpoints_update(read=gone)
+    view.apply_endpoints_update(update=gone)
     _hear(view, (4, 0))
 
     assert view.entries == ()
--- a/dotterelpaddle/tests/forwarding/test_view.py
+++ b/dotterelpaddle/tests/forwarding/test_view.py
@@ -106,7 +106,7 @@
         if not self.news:
             return
         read = data.draw(st.sampled_from(self.news))
-        self.view.apply_endpoints_update(read=read)
+        self.view.apply_endpoints_update(update=read)
         for entry in read.entries:
             self._note(entry.name, entry.revision, entry)
         for name, revision in read.removed.items():
@@ -164,7 +164,7 @@
         EndpointsUpdate(revision=Revision(4), entries=(), removed={name: Revision(4)}),
         EndpointsUpdate(revision=Revision(3), entries=(_entry(name, 3),)),
     ):
-        view.apply_endpoints_update(read=read)
+        view.apply_endpoints_update(update=read)
 
     assert view.entries == ()
     assert view.ready(service=SERVICE) == ()
@@ -175,12 +175,12 @@
     view = FleetView(clock=lambda: now)
     entry = _entry(NAMES[0], 1)
     view.apply_endpoints_update(
-        read=EndpointsUpdate(revision=Revision(1), entries=(entry,), is_snapshot=True)
+        update=EndpointsUpdate(revision=Revision(1), entries=(entry,), is_snapshot=True)
     )
     now = 10.0
     view.note_platform_recovery()
     view.apply_endpoints_update(
-        read=EndpointsUpdate(revision=Revision(2), entries=(), is_snapshot=True)
+        update=EndpointsUpdate(revision=Revision(2), entries=(), is_snapshot=True)
     )
 
     held = view.ready(service=SERVICE)
@@ -196,11 +196,11 @@
     view = FleetView(clock=lambda: now)
     entry = _entry(NAMES[0], 1, EndpointState.DRAINING)
     view.apply_endpoints_update(
-        read=EndpointsUpdate(revision=Revision(1), entries=(entry,), is_snapshot=True)
+        update=EndpointsUpdate(revision=Revision(1), entries=(entry,), is_snapshot=True)
     )
     view.note_platform_recovery()
     view.apply_endpoints_update(
-        read=EndpointsUpdate(revision=Revision(2), entries=(), is_snapshot=True)
+        update=EndpointsUpdate(revision=Revision(2), entries=(), is_snapshot=True)
     )
 
     assert view.ready(service=SERVICE) == ()
@@ -229,7 +229,7 @@
     read = EndpointsUpdate(
         revision=Revision(1), entries=(own, foreign), is_snapshot=True
     )
-    view.apply_endpoints_update(read=read)
+    view.apply_endpoints_update(update=read)
     before = view.routed_entries
     route = ForwardRoute(
         name="r",
--- a/dotterelpaddle/tests/owners/fleet.py
+++ b/dotterelpaddle/tests/owners/fleet.py
@@ -345,11 +345,11 @@
         parts = router.parts
         await anyio.sleep(self.dice.uniform(*NEWS_TIME))
         if parts is not None:
-            parts.state.view.apply_endpoints_update(read=read)
+            parts.state.view.apply_endpoints_update(update=read)
 
     def _tell_all(self, parts: Components) -> None:
         parts.state.view.apply_endpoints_update(
-            read=EndpointsUpdate(
+            update=EndpointsUpdate(
                 revision=Revision(self.revision),
                 entries=tuple(each.entry for each in self.endpoints.values()),
                 is_snapshot=True,
--- a/dotterelpaddle/tests/owners/test_owner.py
+++ b/dotterelpaddle/tests/owners/test_owner.py
@@ -179,7 +179,7 @@
     for _ in range(4 * SLOTS):
         router.begin(endpoint=first.endpoints[3])
     first.view.apply_endpoints_update(
-        read=EndpointsUpdate(
+        update=EndpointsUpdate(
             revision=Revision(2),
             entries=(
                 *first.view.entries,
--- a/dotterelpaddle/tests/owners/test_shards.py
+++ b/dotterelpaddle/tests/owners/test_shards.py
@@ -66,14 +66,16 @@
     assert shards.shards(service=SERVICE) == ()
     few = _entries(a=1, b=1)
     view.apply_endpoints_update(
-        read=EndpointsUpdate(revision=Revision(1), entries=tuple(few), is_snapshot=True)
+        update=EndpointsUpdate(
+            revision=Revision(1), entries=tuple(few), is_snapshot=True
+        )
     )
     alone = owning_domain(service=SERVICE, domains={A, B})
     assert shards.shards(service=SERVICE) == (None,)
     assert {shards.owning_domain(endpoint=entry.endpoint) for entry in few} == {alone}
     many = _entries(a=6, b=6)
     view.apply_endpoints_update(
-        read=EndpointsUpdate(
+        update=EndpointsUpdate(
             revision=Revision(2), entries=tuple(many), is_snapshot=True
         )
     )
--- a/dotterelpaddle/tests/owners/world.py
+++ b/dotterelpaddle/tests/owners/world.py
@@ -62,7 +62,7 @@
             ),
         )
         self.view.apply_endpoints_update(
-            read=EndpointsUpdate(
+            update=EndpointsUpdate(
                 revision=Revision(1), entries=entries, is_snapshot=True
             )
         )
--- a/dotterelpaddle/tests/peers/test_cache_lists.py
+++ b/dotterelpaddle/tests/peers/test_cache_lists.py
@@ -52,7 +52,7 @@
             for number in range(engines)
         )
         read = EndpointsUpdate(revision=Revision(1), entries=entries, is_snapshot=True)
-        self.view.apply_endpoints_update(read=read)
+        self.view.apply_endpoints_update(update=read)
         route = SimpleNamespace(
             host="a.example",
             prefix="/",
--- a/dotterelpaddle/tests/peers/test_snapshot.py
+++ b/dotterelpaddle/tests/peers/test_snapshot.py
@@ -39,7 +39,7 @@
         name=EndpointName("a"), document=orjson.dumps(row), revision=Revision(4)
     )
     view.apply_endpoints_update(
-        read=EndpointsUpdate(revision=Revision(5), entries=(entry,), is_snapshot=True)
+        update=EndpointsUpdate(revision=Revision(5), entries=(entry,), is_snapshot=True)
     )
     return view
 
--- a/dotterelpaddle/tests/peers/test_word.py
+++ b/dotterelpaddle/tests/peers/test_word.py
@@ -25,7 +25,7 @@
     view = FleetView(clock=lambda: 0.0)
     entries = (make_entry("a", revision=Revision(revision), state=state),)
     view.apply_endpoints_update(
-        read=EndpointsUpdate(
+        update=EndpointsUpdate(
             revision=Revision(revision), entries=entries, is_snapshot=True
         )
     )
