--- a/dotterelpaddle/forwarding/follower.py
+++ b/dotterelpaddle/forwarding/follower.py
@@ -88,9 +88,9 @@
     Args:
         source: Where configuration and endpoints are kept.
         view: What this router acts on.
-        word: What other routers vouch for.
+        peer_summary: What other routers vouch for.
         metrics: Counts calls.
-        leaving_time: Seconds in which a leaving endpoint must be known.
+        leaving_propagation_time: Seconds in which a leaving endpoint must be known.
         clock: Monotonic clock.
         generator: Source of jitter, so that routers do not call in step.
     """
@@ -100,17 +100,17 @@
         *,
         source: Source,
         view: FleetView,
-        word: PeerStatus,
+        peer_summary: PeerStatus,
         metrics: ForwardMetrics,
-        leaving_time: float,
+        leaving_propagation_time: float,
         clock: Clock,
         generator: random.Random,
     ) -> None:
         self._source = source
         self._view = view
-        self._word = word
+        self._peer_summary = peer_summary
         self._metrics = metrics
-        self._endpoints_trust = MAX_ENDPOINTS_AGE_SHARE * leaving_time
+        self._endpoints_trust = MAX_ENDPOINTS_AGE_SHARE * leaving_propagation_time
         self._clock = clock
         self._generator = generator
         self._configuration_at = float("-inf")
@@ -178,7 +178,7 @@
             read = await self._source.configuration_after(
                 after=after, wait=CONFIGURATION_WAIT_SECONDS
             )
-        elif self._word.receives_configurations:
+        elif self._peer_summary.receives_configurations:
             await self._until_on_its_own()
             # What others passed on meanwhile makes all that came before it old.
             return None
@@ -197,12 +197,15 @@
     @property
     def _must_look_itself(self) -> bool:
         """Whether no one else's word on the configuration is to be relied on."""
-        age = min(self.configuration_age, self._word.configuration_age)
-        return self._word.is_platform_reader or age >= MAX_CONFIGURATION_AGE_SECONDS
+        age = min(self.configuration_age, self._peer_summary.configuration_age)
+        return (
+            self._peer_summary.is_platform_reader
+            or age >= MAX_CONFIGURATION_AGE_SECONDS
+        )
 
     async def _until_on_its_own(self) -> None:
         """Wait while others pass on each new configuration, and vouch for it."""
-        while self._word.receives_configurations and not self._must_look_itself:
+        while self._peer_summary.receives_configurations and not self._must_look_itself:
             await anyio.sleep(GOSSIP_CHECK_INTERVAL_SECONDS)
 
     async def _wait_long(self, *, after: Revision) -> OperatorUpdate | None:
@@ -236,9 +239,12 @@
         jitter = self._generator.uniform(0.8, 1.2)
         due_at = self._clock() + ENDPOINTS_INTERVAL_SECONDS * jitter
         await anyio.sleep(MIN_ENDPOINTS_INTERVAL_SECONDS * jitter)
-        while self._word.receives_endpoints or not self._word.endpoints_outdated:
-            age = min(self.endpoints_age, self._word.endpoints_age)
-            due = self._word.is_platform_reader or age >= self._endpoints_trust
+        while (
+            self._peer_summary.receives_endpoints
+            or not self._peer_summary.endpoints_outdated
+        ):
+            age = min(self.endpoints_age, self._peer_summary.endpoints_age)
+            due = self._peer_summary.is_platform_reader or age >= self._endpoints_trust
             if due and self._clock() >= due_at:
                 return
             await anyio.sleep(self._look_pause)
@@ -247,7 +253,7 @@
     def _look_pause(self) -> float:
         return (
             GOSSIP_CHECK_INTERVAL_SECONDS
-            if self._word.receives_configurations
+            if self._peer_summary.receives_configurations
             else PEER_CHECK_INTERVAL_SECONDS
         )
 
@@ -255,7 +261,9 @@
         while True:
             await anyio.sleep(self._look_pause)
             self._view.expire_holds()
-            others = min(self._word.configuration_age, self._word.endpoints_age)
+            others = min(
+                self._peer_summary.configuration_age, self._peer_summary.endpoints_age
+            )
             self._note_heard(at=self._clock() - others)
             if self._must_look_itself and self._long_call is not None:
                 self._long_call.cancel()
--- a/dotterelpaddle/forwarding/parts.py
+++ b/dotterelpaddle/forwarding/parts.py
@@ -184,9 +184,9 @@
     follower = Follower(
         source=surroundings.source,
         view=knowledge.view,
-        word=word,
+        peer_summary=word,
         metrics=metrics,
-        leaving_time=settings.leaving_propagation_time,
+        leaving_propagation_time=settings.leaving_propagation_time,
         clock=clock,
         generator=generator,
     )
--- a/dotterelpaddle/tests/forwarding/test_follower.py
+++ b/dotterelpaddle/tests/forwarding/test_follower.py
@@ -104,9 +104,9 @@
     follower = Follower(
         source=source,
         view=view or FleetView(clock=monotonic),
-        word=word,
+        peer_summary=word,
         metrics=ForwardMetrics(),
-        leaving_time=2.0,
+        leaving_propagation_time=2.0,
         clock=clock,
         generator=random.Random(1),
     )
