--- a/dotterelpaddle/forwarding/evacuations.py
+++ b/dotterelpaddle/forwarding/evacuations.py
@@ -94,10 +94,10 @@
             each for each in entries if each.failure_domain not in self._domains
         )
 
-    def apply_snapshot(self, *, told: EvacuationSnapshot) -> None:
+    def apply_snapshot(self, *, snapshot: EvacuationSnapshot) -> None:
         """Take in all domains that are evacuated as of some revision."""
-        if self._revision is None or told.revision > self._revision:
-            self._set(revision=told.revision, domains=told.domains)
+        if self._revision is None or snapshot.revision > self._revision:
+            self._set(revision=snapshot.revision, domains=snapshot.domains)
 
     def apply_changes(
         self, *, changes: Iterable[EvacuationChange], revision: Revision
--- a/dotterelpaddle/forwarding/view.py
+++ b/dotterelpaddle/forwarding/view.py
@@ -234,7 +234,9 @@
             told = frozenset(each.failure_domain for each in update.evacuations)
             kept = self._evacuations.domains & update.undecodable
             self._evacuations.apply_snapshot(
-                told=EvacuationSnapshot(revision=update.revision, domains=told | kept)
+                snapshot=EvacuationSnapshot(
+                    revision=update.revision, domains=told | kept
+                )
             )
         else:
             self._evacuations.apply_changes(
--- a/dotterelpaddle/peers/exchange.py
+++ b/dotterelpaddle/peers/exchange.py
@@ -311,7 +311,7 @@
         self._crashes.receive(notes=report.crashes, pass_on=origin is not None)
         self._view.leaving.receive(notes=report.leaving_endpoints)
         if report.evacuated is not None:
-            self._view.evacuations.apply_snapshot(told=report.evacuated)
+            self._view.evacuations.apply_snapshot(snapshot=report.evacuated)
         return not known or report.ask is ReplyRequest.ANSWER
 
     def _origin(self, *, report: PeerReport) -> UseOrigin | None:
--- a/dotterelpaddle/tests/forwarding/test_cold.py
+++ b/dotterelpaddle/tests/forwarding/test_cold.py
@@ -231,7 +231,7 @@
     router.know(_entry(WARM), _entry(COLD))
     for revision, domains in enumerate([{HERE}, set()], start=1):
         router.view.evacuations.apply_snapshot(
-            told=EvacuationSnapshot(
+            snapshot=EvacuationSnapshot(
                 revision=Revision(revision), domains=frozenset(domains)
             )
         )
--- a/dotterelpaddle/tests/forwarding/test_evacuations_machine.py
+++ b/dotterelpaddle/tests/forwarding/test_evacuations_machine.py
@@ -49,7 +49,7 @@
     def read(self, router: int, data: st.DataObject) -> None:
         """Read all of it, perhaps as of long ago."""
         state = data.draw(st.sampled_from(self.states))
-        self.routers[router].apply_snapshot(told=state)
+        self.routers[router].apply_snapshot(snapshot=state)
         self._note(router, state.revision)
 
     @rule(router=ROUTERS, data=st.data())
@@ -70,7 +70,7 @@
         """Let one router tell the other what it knows."""
         told = self.routers[teller].snapshot
         if told is not None:
-            self.routers[1 - teller].apply_snapshot(told=told)
+            self.routers[1 - teller].apply_snapshot(snapshot=told)
             self._note(1 - teller, told.revision)
 
     def _note(self, router: int, revision: int) -> None:
