--- a/dotterelpaddle/forwarding/isolation.py
+++ b/dotterelpaddle/forwarding/isolation.py
@@ -42,7 +42,7 @@
         view: The endpoints in force.
         reachability: Where no connection can be made.
         failure_domain: Where this router is.
-        routers: Tells by failure domain whether any of its routers is heard.
+        router_presence: Tells by failure domain whether any of its routers is heard.
         clock: Monotonic clock.
     """
 
@@ -52,13 +52,13 @@
         view: FleetView,
         reachability: Reachability,
         failure_domain: FailureDomain,
-        routers: Callable[[], Mapping[FailureDomain, bool]],
+        router_presence: Callable[[], Mapping[FailureDomain, bool]],
         clock: Clock,
     ) -> None:
         self._view = view
         self._reachability = reachability
         self._failure_domain = failure_domain
-        self._routers = routers
+        self._router_presence = router_presence
         self._silent: frozenset[FailureDomain] = frozenset()
         self._lost: frozenset[FailureDomain] = frozenset()
         self._clock = clock
@@ -84,7 +84,7 @@
 
     def check(self) -> None:
         """Judge by what is heard and reached now."""
-        heard = self._routers()
+        heard = self._router_presence()
         silent = frozenset(domain for domain, any_ in heard.items() if not any_)
         for domain in silent - self._silent:
             # Requests find out too, but may not go there for a while.
--- a/dotterelpaddle/forwarding/parts.py
+++ b/dotterelpaddle/forwarding/parts.py
@@ -207,7 +207,7 @@
         view=knowledge.view,
         reachability=reachability,
         failure_domain=settings.failure_domain,
-        routers=directory.reachable_domains,
+        router_presence=directory.reachable_domains,
         clock=clock,
     )
     placer = ForwardPlacer(
--- a/dotterelpaddle/tests/forwarding/test_isolation.py
+++ b/dotterelpaddle/tests/forwarding/test_isolation.py
@@ -57,7 +57,7 @@
             view=view,
             reachability=_as_reachability(self.reachability),
             failure_domain=HERE,
-            routers=lambda: self.heard,
+            router_presence=lambda: self.heard,
             clock=lambda: self.now,
         )
 
