--- a/dotterelpaddle/forwarding/attempts.py
+++ b/dotterelpaddle/forwarding/attempts.py
@@ -327,7 +327,7 @@
             case EndpointRefused() | ForeignAnswer() | IdleConnectionLost():
                 pass
             case EndpointUnreachable():
-                self._reachability.suspect(entry=entry, silent=error.timed_out)
+                self._reachability.suspect(entry=entry, timed_out=error.timed_out)
             case FailedAnswer():
                 self._health.record_error_answer(entry=entry)
             case EndpointSilent():
--- a/dotterelpaddle/forwarding/endings.py
+++ b/dotterelpaddle/forwarding/endings.py
@@ -118,7 +118,7 @@
             requests=len(broken),
         )
         if ended:
-            self._reachability.suspect(entry=entry, silent=False)
+            self._reachability.suspect(entry=entry, timed_out=False)
         for each in broken:
             if ended:
                 self._crashes.record_crash(
@@ -137,7 +137,7 @@
             tried = await probe_connection(
                 backend=self._backend,
                 address=entry.address,
-                seconds=PROBE_TIMEOUT_SECONDS,
+                timeout=PROBE_TIMEOUT_SECONDS,
             )
             match tried:
                 case ConnectionOutcome.REFUSED:
--- a/dotterelpaddle/forwarding/reachability.py
+++ b/dotterelpaddle/forwarding/reachability.py
@@ -85,17 +85,17 @@
         """Return the endpoints that are not out of reach beyond doubt."""
         return [entry for entry in entries if entry.endpoint not in self._out_of_reach]
 
-    def suspect(self, *, entry: EndpointEntry, silent: bool) -> None:
+    def suspect(self, *, entry: EndpointEntry, timed_out: bool) -> None:
         """Note that no connection could be made.
 
         Args:
             entry: The endpoint.
-            silent: Whether there was no answer at all, rather than a refusal.
+            timed_out: Whether there was no answer at all, rather than a refusal.
         """
         suspects = [entry]
-        if silent and entry.failure_domain != self._failure_domain:
+        if timed_out and entry.failure_domain != self._failure_domain:
             suspects += self._entries_in(failure_domain=entry.failure_domain)
-        self._add(suspects=suspects, because_of=entry.endpoint, silent=silent)
+        self._add(suspects=suspects, because_of=entry.endpoint, silent=timed_out)
 
     def suspect_domain(self, *, failure_domain: FailureDomain) -> None:
         """Pass over the endpoints of a failure domain until a connection stands."""
@@ -157,23 +157,23 @@
 
     async def _connects(self, *, entry: EndpointEntry, seconds: float) -> bool:
         tried = await probe_connection(
-            backend=self._backend, address=entry.address, seconds=seconds
+            backend=self._backend, address=entry.address, timeout=seconds
         )
         return tried is ConnectionOutcome.ESTABLISHED
 
 
 async def try_connection(
-    *, backend: LinkedBackend, address: Address, seconds: float
+    *, backend: LinkedBackend, address: Address, timeout: float
 ) -> ConnectionOutcome:
     """Open a connection to an endpoint, and close it again.
 
     Args:
         backend: Opens connections.
         address: Where the endpoint listens.
-        seconds: Time in which it must stand.
+        timeout: Time in which it must stand.
     """
     try:
-        stream = await backend.connect_tcp(address.host, address.port, seconds)
+        stream = await backend.connect_tcp(address.host, address.port, timeout)
     except httpcore.ConnectError:
         return ConnectionOutcome.REFUSED
     except httpcore.ConnectTimeout:
