--- a/dotterelpaddle/forwarding/removals.py
+++ b/dotterelpaddle/forwarding/removals.py
@@ -39,7 +39,7 @@
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
-class _Removed:
+class _Tombstone:
     """An entry that is gone.
 
     Attributes:
@@ -67,7 +67,7 @@
 
     def __init__(self, *, clock: Clock) -> None:
         self._clock = clock
-        self._removed: dict[EndpointName, _Removed] = {}
+        self._removed: dict[EndpointName, _Tombstone] = {}
         self._returned_at = float("-inf")
 
     @property
@@ -117,7 +117,7 @@
         now = self._clock()
         held_until = self._returned_at + RECOVERY_HOLD_SECONDS
         held = held_until > now and entry.state is EndpointState.READY
-        self._removed[entry.name] = _Removed(
+        self._removed[entry.name] = _Tombstone(
             entry=entry,
             revision=revision,
             at=now,
