--- a/dotterelpaddle/forwarding/leaving.py
+++ b/dotterelpaddle/forwarding/leaving.py
@@ -50,7 +50,7 @@
 
 
 @dataclass(kw_only=True, slots=True)
-class _Heard:
+class _LeavingRecord:
     at: float
     telling: ReportState = field(default_factory=ReportState)
 
@@ -66,20 +66,20 @@
     def __init__(self, *, clock: Clock, serve_time: float = 2.0) -> None:
         self._clock = clock
         self._serve_time = serve_time
-        self._heard: dict[EndpointId, _Heard] = {}
+        self._heard: dict[EndpointId, _LeavingRecord] = {}
 
     def __contains__(self, endpoint: EndpointId) -> bool:
         return endpoint in self._heard
 
     def record(self, *, endpoint: EndpointId) -> None:
         """Note that an answer said that its endpoint leaves."""
-        self._take_in(endpoint, _Heard(at=self._clock()), told_by="endpoint")
+        self._take_in(endpoint, _LeavingRecord(at=self._clock()), told_by="endpoint")
 
-    def receive(self, *, notes: Iterable[LeavingNotice]) -> None:
+    def receive(self, *, notices: Iterable[LeavingNotice]) -> None:
         """Take in what another router told."""
         now = self._clock()
-        for note in notes:
-            heard = _Heard(at=now - note.age)
+        for note in notices:
+            heard = _LeavingRecord(at=now - note.age)
             self._take_in(note.endpoint, heard, told_by="router")
 
     def exclude_leaving(
@@ -119,7 +119,9 @@
             for endpoint, heard in due[:MAX_NOTICES_PER_REPORT]
         )
 
-    def _take_in(self, endpoint: EndpointId, heard: _Heard, *, told_by: str) -> None:
+    def _take_in(
+        self, endpoint: EndpointId, heard: _LeavingRecord, *, told_by: str
+    ) -> None:
         if endpoint in self._heard:
             return
         self._heard[endpoint] = heard
--- a/dotterelpaddle/peers/exchange.py
+++ b/dotterelpaddle/peers/exchange.py
@@ -309,7 +309,7 @@
         origin = self._origin(report=report)
         self._caches.receive(uses=report.uses, pass_on=origin)
         self._crashes.receive(notes=report.crashes, pass_on=origin is not None)
-        self._view.leaving.receive(notes=report.leaving_endpoints)
+        self._view.leaving.receive(notices=report.leaving_endpoints)
         if report.evacuated is not None:
             self._view.evacuations.apply_snapshot(snapshot=report.evacuated)
         return not known or report.ask is ReplyRequest.ANSWER
--- a/dotterelpaddle/tests/forwarding/test_leaving.py
+++ b/dotterelpaddle/tests/forwarding/test_leaving.py
@@ -164,7 +164,7 @@
     world: World,
 ) -> None:
     note = LeavingNotice(endpoint=EndpointId("a"), age=SERVE_TIME)
-    world.leaving.receive(notes=[note])
+    world.leaving.receive(notices=[note])
 
     assert world.ready == ["b"]
     assert world.last == []
