--- a/dotterelpaddle/forwarding/notices.py
+++ b/dotterelpaddle/forwarding/notices.py
@@ -21,12 +21,14 @@
 
     Args:
         leaving: Endpoints that leave.
-        quiet: Endpoints that want nothing from this router for a while.
+        backoffs: Endpoints that want nothing from this router for a while.
     """
 
-    def __init__(self, *, leaving: LeavingEndpoints, quiet: EndpointBackoffs) -> None:
+    def __init__(
+        self, *, leaving: LeavingEndpoints, backoffs: EndpointBackoffs
+    ) -> None:
         self._leaving = leaving
-        self._quiet = quiet
+        self._quiet = backoffs
 
     def process(
         self, *, endpoint: EndpointId, head: AnswerHead, request_id: RequestId
--- a/dotterelpaddle/forwarding/parts.py
+++ b/dotterelpaddle/forwarding/parts.py
@@ -172,7 +172,9 @@
         backend=backend,
         clock=clock,
         signs=knowledge.liveness,
-        notices=EndpointNotices(leaving=knowledge.view.leaving, quiet=knowledge.quiet),
+        notices=EndpointNotices(
+            leaving=knowledge.view.leaving, backoffs=knowledge.quiet
+        ),
     )
     word = PeerSummary(
         view=knowledge.view,
--- a/dotterelpaddle/tests/forwarding/test_leaving.py
+++ b/dotterelpaddle/tests/forwarding/test_leaving.py
@@ -71,7 +71,7 @@
 
     def answer(self, name: str, **fields: object) -> None:
         """Let the head of an answer come in."""
-        EndpointNotices(leaving=self.leaving, quiet=self.quiet).process(
+        EndpointNotices(leaving=self.leaving, backoffs=self.quiet).process(
             endpoint=EndpointId(name),
             head=replace(HEAD, **fields),  # type: ignore[arg-type]
             request_id=RequestId("r"),
