--- a/dotterelpaddle/forwarding/attempts.py
+++ b/dotterelpaddle/forwarding/attempts.py
@@ -202,7 +202,7 @@
         finally:
             attempt.end()
         self._health.record_success(
-            endpoint=entry.endpoint, begun_at=progress.started_at
+            endpoint=entry.endpoint, started_at=progress.started_at
         )
         if progress.first_byte_seconds is not None:
             self._waits.record_answer_start(
--- a/dotterelpaddle/forwarding/health.py
+++ b/dotterelpaddle/forwarding/health.py
@@ -88,14 +88,14 @@
         record = self._records.get(endpoint)
         return record.error_rate if record is not None else 0.0
 
-    def record_success(self, *, endpoint: EndpointId, begun_at: float) -> None:
+    def record_success(self, *, endpoint: EndpointId, started_at: float) -> None:
         """Note a whole answer to a request that was sent at some time."""
         record = self._record(endpoint)
         self._smooth(record, failed=False)
         lives = record.broke_off and self._clock() >= (
             record.ejected_at + IN_TRANSIT_SECONDS
         )
-        if lives or begun_at >= record.ejected_at:
+        if lives or started_at >= record.ejected_at:
             record.hard_failures = 0
             record.ejected_until = 0.0
 
--- a/dotterelpaddle/tests/forwarding/test_health.py
+++ b/dotterelpaddle/tests/forwarding/test_health.py
@@ -46,7 +46,7 @@
         world.health.record_hard_failure(entry=entry, cause="the connection broke")
     world.now = 0.2
     for entry in ENTRIES[:4]:
-        world.health.record_success(endpoint=entry.endpoint, begun_at=-0.1)
+        world.health.record_success(endpoint=entry.endpoint, started_at=-0.1)
 
     assert world.usable() > len(ENTRIES) / 2
 
@@ -55,7 +55,7 @@
     world = World()
     world.health.record_hard_failure(entry=ENTRIES[0], cause="the connection broke")
     world.now = IN_TRANSIT_SECONDS / 2
-    world.health.record_success(endpoint=ENTRIES[0].endpoint, begun_at=-0.1)
+    world.health.record_success(endpoint=ENTRIES[0].endpoint, started_at=-0.1)
 
     assert world.usable() == 4
 
@@ -65,6 +65,6 @@
     world.health.record_timeout(entry=ENTRIES[0])
     world.health.record_timeout(entry=ENTRIES[0])
     world.now = 2 * IN_TRANSIT_SECONDS
-    world.health.record_success(endpoint=ENTRIES[0].endpoint, begun_at=-0.1)
+    world.health.record_success(endpoint=ENTRIES[0].endpoint, started_at=-0.1)
 
     assert world.usable() == 4
