--- a/dotterelpaddle/forwarding/cold.py
+++ b/dotterelpaddle/forwarding/cold.py
@@ -61,7 +61,7 @@
         router: This router.
         bounds: What cold endpoints may get, None without a bound.
         view: The endpoints in force, and what their services say of cold ones.
-        routers: Tells how many routers there are.
+        router_count: Tells how many routers there are.
         clock: Monotonic clock.
     """
 
@@ -71,13 +71,13 @@
         router: RouterId,
         bounds: ColdBounds | None,
         view: FleetView,
-        routers: Callable[[], int],
+        router_count: Callable[[], int],
         clock: Clock,
     ) -> None:
         self._router = router
         self._bounds = bounds
         self._view = view
-        self._routers = routers
+        self._router_count = router_count
         self._clock = clock
         self._started_at = clock()
         self._until: dict[EndpointId, float] = {}
@@ -170,7 +170,7 @@
         """This router's part of what all of them may send where there are no owners."""
         if self._clock() - self._started_at < SETTLING_SECONDS:
             return 0
-        routers = self._routers()
+        routers = self._router_count()
         whole = int(OWNERLESS_SHARE * bound / routers)
         if whole:
             return whole
--- a/dotterelpaddle/forwarding/parts.py
+++ b/dotterelpaddle/forwarding/parts.py
@@ -371,7 +371,7 @@
             router=settings.router,
             bounds=settings.cold_bounds,
             view=view,
-            routers=lambda: max(directory.router_count, shares.router_count),
+            router_count=lambda: max(directory.router_count, shares.router_count),
             clock=clock,
         ),
         caches=caches,
--- a/dotterelpaddle/tests/forwarding/entries.py
+++ b/dotterelpaddle/tests/forwarding/entries.py
@@ -44,7 +44,7 @@
         router=RouterId("own"),
         bounds=None,
         view=view,
-        routers=lambda: 1,
+        router_count=lambda: 1,
         clock=lambda: 0.0,
     )
 
--- a/dotterelpaddle/tests/forwarding/test_cold.py
+++ b/dotterelpaddle/tests/forwarding/test_cold.py
@@ -91,7 +91,7 @@
             router=RouterId(self.name),
             bounds=self.bounds,
             view=self.view,
-            routers=lambda: self.routers,
+            router_count=lambda: self.routers,
             clock=self._clock,
         )
         shares = TotalsTracker(failure_domain=HERE, clock=self._clock)
