--- a/dotterelpaddle/forwarding/attempts.py
+++ b/dotterelpaddle/forwarding/attempts.py
@@ -247,8 +247,8 @@
             patience=self._waits.attempt_timeouts(
                 route=route,
                 time_left=time_left,
-                connect_time=connect_time,
-                may_repeat=self._may_repeat_later(exchange=exchange),
+                connect_timeout=connect_time,
+                may_retry=self._may_repeat_later(exchange=exchange),
                 missing_tokens=choice.missing_tokens,
             ),
             new_connection=fresh or not route.retryable,
--- a/dotterelpaddle/forwarding/waits.py
+++ b/dotterelpaddle/forwarding/waits.py
@@ -64,8 +64,8 @@
         *,
         route: ForwardRoute,
         time_left: float,
-        connect_time: float,
-        may_repeat: bool,
+        connect_timeout: float,
+        may_retry: bool,
         missing_tokens: int,
     ) -> Patience:
         """Return the deadlines of the next attempt.
@@ -73,8 +73,8 @@
         A request that can't be sent again gains nothing from giving up early,
         so once it is sent only its own deadline ends it.
         """
-        connect = min(connect_time, time_left)
-        if not may_repeat:
+        connect = min(connect_timeout, time_left)
+        if not may_retry:
             return Patience(connect=connect, first_byte=time_left, gap=time_left)
         reading = PREFILL_SECONDS_PER_TOKEN * missing_tokens
         begin = self._begin(route).limit() + reading
--- a/dotterelpaddle/tests/forwarding/test_waits.py
+++ b/dotterelpaddle/tests/forwarding/test_waits.py
@@ -31,8 +31,8 @@
     patience = book.attempt_timeouts(
         route=route,
         time_left=5.0,
-        connect_time=0.1,
-        may_repeat=True,
+        connect_timeout=0.1,
+        may_retry=True,
         missing_tokens=missing,
     )
     return patience.first_byte
@@ -79,8 +79,8 @@
     patience = TimeoutEstimator().attempt_timeouts(
         route=STREAM,
         time_left=5.0,
-        connect_time=0.1,
-        may_repeat=False,
+        connect_timeout=0.1,
+        may_retry=False,
         missing_tokens=0,
     )
 
