--- a/dotterelpaddle/forwarding/herding.py
+++ b/dotterelpaddle/forwarding/herding.py
@@ -39,7 +39,9 @@
 """The same for requests without a prompt, the usual number where loads are old."""
 
 
-def load_bound(*, entry: EndpointEntry, mean: float, nearness: float = 1.0) -> float:
+def load_bound(
+    *, entry: EndpointEntry, mean: float, bound_fraction: float = 1.0
+) -> float:
     """Requests up to which an endpoint is given more for its cache.
 
     A request that waits for a slot gains nothing from a cache.
@@ -47,9 +49,9 @@
     Args:
         entry: The endpoint.
         mean: Mean load of its service.
-        nearness: How near to the bound to go, from the mean at 0 on.
+        bound_fraction: How near to the bound to go, from the mean at 0 on.
     """
     by_mean = LOAD_MULTIPLE * mean + LOAD_ALLOWANCE
     by_slots = max(entry.slots, mean + LOAD_ALLOWANCE)
     bound = min(by_mean, by_slots)
-    return bound - (1.0 - nearness) * (bound - mean - 1)
+    return bound - (1.0 - bound_fraction) * (bound - mean - 1)
--- a/dotterelpaddle/forwarding/placement.py
+++ b/dotterelpaddle/forwarding/placement.py
@@ -287,7 +287,7 @@
             entry
             for entry in candidates
             if loads[entry.endpoint] + 1
-            <= load_bound(entry=entry, mean=mean, nearness=nearness)
+            <= load_bound(entry=entry, mean=mean, bound_fraction=nearness)
         ]
         if not within:
             return None
--- a/dotterelpaddle/tests/forwarding/test_herding.py
+++ b/dotterelpaddle/tests/forwarding/test_herding.py
@@ -155,7 +155,7 @@
 ) -> None:
     entry = make_entry("a", slots=64)
 
-    bound = load_bound(entry=entry, mean=mean, nearness=nearness)
+    bound = load_bound(entry=entry, mean=mean, bound_fraction=nearness)
 
     whole = load_bound(entry=entry, mean=mean)
     assert min(mean + 1, whole) - 1e-9 <= bound <= max(mean + 1, whole) + 1e-9
