--- a/dotterelpaddle/forwarding/attempts.py
+++ b/dotterelpaddle/forwarding/attempts.py
@@ -180,7 +180,9 @@
         watched = self._guard.watch(
             exchange=exchange, relay=relay, entry=entry, progress=progress
         )
-        hold = self._loads.track(endpoint=entry.endpoint, work=choice.work_tokens)
+        hold = self._loads.track(
+            endpoint=entry.endpoint, work_tokens=choice.work_tokens
+        )
         try:
             with watched, hold as held:
                 progress.held = held
--- a/dotterelpaddle/forwarding/loads.py
+++ b/dotterelpaddle/forwarding/loads.py
@@ -17,23 +17,27 @@
     """A request that is counted at an endpoint.
 
     Args:
-        reading: Tokens that wait to be read, by endpoint.
+        queued_tokens: Tokens that wait to be read, by endpoint.
         endpoint: The endpoint.
-        work: Time until it can answer, in tokens read.
+        work_tokens: Time until it can answer, in tokens read.
     """
 
     def __init__(
-        self, *, reading: Counter[EndpointId], endpoint: EndpointId, work: int
+        self,
+        *,
+        queued_tokens: Counter[EndpointId],
+        endpoint: EndpointId,
+        work_tokens: int,
     ) -> None:
-        self._reading = reading
+        self._queued_tokens = queued_tokens
         self._endpoint = endpoint
-        self._work = work
-        _add(reading, endpoint, work)
+        self._work_tokens = work_tokens
+        _add(queued_tokens, endpoint, work_tokens)
 
     def answer_started(self) -> None:
         """Note that the answer has begun, and so that the prompt was read."""
-        work, self._work = self._work, 0
-        _add(self._reading, self._endpoint, -work)
+        work, self._work_tokens = self._work_tokens, 0
+        _add(self._queued_tokens, self._endpoint, -work)
 
 
 class LoadTracker:
@@ -47,7 +51,7 @@
         self._shares = shares
         self._own: Counter[EndpointId] = Counter()
         self._changed: Callable[[EndpointId, int], None] | None = None
-        self._own_reading: Counter[EndpointId] = Counter()
+        self._own_queued_tokens: Counter[EndpointId] = Counter()
 
     @property
     def own(self) -> Mapping[EndpointId, int]:
@@ -57,7 +61,7 @@
     @property
     def own_queued_tokens(self) -> Mapping[EndpointId, int]:
         """Tokens that this router's requests wait to have read, by endpoint."""
-        return self._own_reading
+        return self._own_queued_tokens
 
     @property
     def routers(self) -> int:
@@ -70,16 +74,20 @@
 
     @contextmanager
     def track(
-        self, *, endpoint: EndpointId, work: int = 0
+        self, *, endpoint: EndpointId, work_tokens: int = 0
     ) -> Iterator[InFlightRequest]:
         """Count a request at an endpoint while the context lasts.
 
         Args:
             endpoint: The endpoint.
-            work: Time until it can answer, in tokens read.
+            work_tokens: Time until it can answer, in tokens read.
         """
         self._change(endpoint, 1)
-        held = InFlightRequest(reading=self._own_reading, endpoint=endpoint, work=work)
+        held = InFlightRequest(
+            queued_tokens=self._own_queued_tokens,
+            endpoint=endpoint,
+            work_tokens=work_tokens,
+        )
         try:
             yield held
         finally:
@@ -100,7 +108,7 @@
 
     def queued_tokens(self) -> Counter[EndpointId]:
         """Tokens that wait to be read by endpoint, as far as this router knows."""
-        reading = Counter(self._own_reading)
+        reading = Counter(self._own_queued_tokens)
         for share in self._shares.current():
             reading.update(share.queued_tokens)
         return reading
--- a/dotterelpaddle/tests/forwarding/test_loads.py
+++ b/dotterelpaddle/tests/forwarding/test_loads.py
@@ -17,7 +17,7 @@
 
 def test_prompt_waits_until_its_answer_begins() -> None:
     book, _ = _book()
-    with book.track(endpoint=ENDPOINT, work=700) as held:
+    with book.track(endpoint=ENDPOINT, work_tokens=700) as held:
         waiting = book.queued_tokens()[ENDPOINT]
         held.answer_started()
         begun = book.queued_tokens()[ENDPOINT]
@@ -30,7 +30,7 @@
 
 def test_request_that_ends_without_an_answer_waits_no_more() -> None:
     book, _ = _book()
-    with book.track(endpoint=ENDPOINT, work=700):
+    with book.track(endpoint=ENDPOINT, work_tokens=700):
         pass
 
     assert not book.own
@@ -44,7 +44,7 @@
         failure_domain=HERE,
         share=RequestTotals(loads={ENDPOINT: 2}, queued_tokens={ENDPOINT: 300}),
     )
-    with book.track(endpoint=ENDPOINT, work=700):
+    with book.track(endpoint=ENDPOINT, work_tokens=700):
         assert book.queued_tokens()[ENDPOINT] == 1000
         own = RequestTotals(loads=book.own, queued_tokens=book.own_queued_tokens)
         assert shares.domain_totals(own=own).queued_tokens == {ENDPOINT: 1000}
--- a/dotterelpaddle/tests/owners/fleet.py
+++ b/dotterelpaddle/tests/owners/fleet.py
@@ -202,7 +202,9 @@
                 excluded=frozenset(),
             )
             endpoint = choice.entry.endpoint
-            with parts.state.loads.track(endpoint=endpoint, work=choice.work_tokens):
+            with parts.state.loads.track(
+                endpoint=endpoint, work_tokens=choice.work_tokens
+            ):
                 await anyio.sleep(self._travel(router, choice.entry.failure_domain))
                 await self._serve(endpoint=endpoint, choice=choice)
                 await anyio.sleep(self._travel(router, choice.entry.failure_domain))
