--- a/dotterelpaddle/forwarding/readiness.py
+++ b/dotterelpaddle/forwarding/readiness.py
@@ -15,17 +15,17 @@
     """Answers 200 while the router should be sent callers, else 503.
 
     Args:
-        ready: Tells whether it should.
+        is_ready: Tells whether it should.
     """
 
-    def __init__(self, *, ready: Callable[[], bool]) -> None:
-        self._ready = ready
+    def __init__(self, *, is_ready: Callable[[], bool]) -> None:
+        self._is_ready = is_ready
 
     async def __call__(
         self, scope: Mapping[str, Any], receive: Receive, send: Send
     ) -> None:
         """Answer one question, whatever its path."""
-        ready = self._ready()
+        ready = self._is_ready()
         body = b"ready\n" if ready else b"not ready\n"
         headers = [(b"content-length", str(len(body)).encode())]
         await send(
--- a/dotterelpaddle/forwarding/router.py
+++ b/dotterelpaddle/forwarding/router.py
@@ -97,7 +97,9 @@
         tasks.start_soon(parts.owners.run, datagrams)
         tasks.start_soon(parts.fetcher.run)
         readiness = await stack.enter_async_context(
-            serve(app=ReadinessApp(ready=lambda: app.ready), address=settings.readiness)
+            serve(
+                app=ReadinessApp(is_ready=lambda: app.ready), address=settings.readiness
+            )
         )
         callers = await stack.enter_async_context(
             serve(
