--- a/dotterelpaddle/tests/forwarding/entries.py
+++ b/dotterelpaddle/tests/forwarding/entries.py
@@ -38,7 +38,7 @@
     )
 
 
-def no_cold_bounds(*, view: FleetView) -> ColdEndpoints:
+def unbounded_cold_endpoints(*, view: FleetView) -> ColdEndpoints:
     """Cold endpoints get what others get."""
     return ColdEndpoints(
         router=RouterId("own"),
--- a/dotterelpaddle/tests/forwarding/test_herding.py
+++ b/dotterelpaddle/tests/forwarding/test_herding.py
@@ -34,7 +34,7 @@
 from dotterelpaddle.tests.forwarding.entries import (
     make_entry,
     make_request,
-    no_cold_bounds,
+    unbounded_cold_endpoints,
 )
 
 if TYPE_CHECKING:
@@ -74,7 +74,7 @@
             clock=lambda: 0.0,
         ),
         quiet=EndpointBackoffs(clock=lambda: 0.0),
-        cold=no_cold_bounds(view=view),
+        cold=unbounded_cold_endpoints(view=view),
         caches=caches,
         failure_domain=HERE,
         generator=random.Random(seed),
--- a/dotterelpaddle/tests/forwarding/test_placement.py
+++ b/dotterelpaddle/tests/forwarding/test_placement.py
@@ -46,7 +46,7 @@
 from dotterelpaddle.tests.forwarding.entries import (
     make_entry,
     make_request,
-    no_cold_bounds,
+    unbounded_cold_endpoints,
 )
 
 pytestmark = pytest.mark.anyio
@@ -89,7 +89,7 @@
             health=health,
             reachability=reachability,
             quiet=EndpointBackoffs(clock=lambda: 100.0),
-            cold=no_cold_bounds(view=view),
+            cold=unbounded_cold_endpoints(view=view),
             caches=caches,
             failure_domain=HERE,
             generator=random.Random(1),
--- a/dotterelpaddle/tests/owners/world.py
+++ b/dotterelpaddle/tests/owners/world.py
@@ -32,7 +32,7 @@
 from dotterelpaddle.tests.forwarding.entries import (
     make_entry,
     make_request,
-    no_cold_bounds,
+    unbounded_cold_endpoints,
 )
 
 if TYPE_CHECKING:
@@ -91,7 +91,7 @@
                     clock=self.clock,
                 ),
                 quiet=EndpointBackoffs(clock=self.clock),
-                cold=no_cold_bounds(view=self.view),
+                cold=unbounded_cold_endpoints(view=self.view),
                 caches=self.caches,
                 failure_domain=HERE,
                 generator=random.Random(1),
