--- a/dotterelpaddle/forwarding/placement.py
+++ b/dotterelpaddle/forwarding/placement.py
@@ -105,7 +105,7 @@
         )
         self._cold = cold
         self._caches = caches
-        self._cached = CachedPrompts(
+        self._cached_prompts = CachedPrompts(
             view=view, health=health, reachability=reachability, caches=caches
         )
         self._failure_domain = failure_domain
@@ -121,7 +121,7 @@
         *,
         service: ServiceName,
         request: HasPrompt,
-        repeatable: bool,
+        retryable: bool,
         excluded: frozenset[EndpointId],
         decider: Decider = Decider.OWNERLESS,
     ) -> Choice:
@@ -130,7 +130,7 @@
         Args:
             service: The service.
             request: What is to be sent.
-            repeatable: Whether a failure there could be made good elsewhere.
+            retryable: Whether a failure there could be made good elsewhere.
             excluded: Endpoints that were tried already.
             decider: Whether owners decide for others meanwhile.
 
@@ -142,7 +142,7 @@
             service=service, request=request, excluded=excluded
         )
         loads = self._loads.loads()
-        risk = RETRYABLE_FAILURE_LOAD if repeatable else NON_RETRYABLE_FAILURE_LOAD
+        risk = RETRYABLE_FAILURE_LOAD if retryable else NON_RETRYABLE_FAILURE_LOAD
         mean = sum(loads[entry.endpoint] for entry in left) / len(left)
         candidates = self._cold.with_capacity(entries=left, decider=decider)
         if not candidates:
@@ -157,14 +157,14 @@
                 request=request,
                 candidates=candidates,
                 loads=loads,
-                mean=mean,
-                risk=risk,
+                mean_load=mean,
+                failure_load=risk,
             )
         if choice is None:
             choice = self._least_loaded(
-                candidates=candidates, loads=loads, mean=mean, risk=risk
+                candidates=candidates, loads=loads, mean_load=mean, failure_load=risk
             )
-        return self._counted(choice=choice, request=request)
+        return self._record_cold_and_choice(choice=choice, request=request)
 
     def choose_in_shard(
         self,
@@ -172,10 +172,10 @@
         service: ServiceName,
         shard: FailureDomain | None,
         request: HasPrompt,
-        repeatable: bool,
+        retryable: bool,
         excluded: frozenset[EndpointId],
         loads: Counter[EndpointId],
-        must: bool,
+        ignore_bound: bool,
         cached_at: EndpointId | None = None,
     ) -> Choice | None:
         """Choose for another router among the endpoints that this one counts.
@@ -184,10 +184,10 @@
             service: The service.
             shard: Failure domain of the endpoints, None for all.
             request: What is to be sent.
-            repeatable: Whether a failure there could be made good elsewhere.
+            retryable: Whether a failure there could be made good elsewhere.
             excluded: Endpoints that can't be chosen.
             loads: Requests in flight, exact for these endpoints.
-            must: Whether to choose one even if all are over their bound.
+            ignore_bound: Whether to choose one even if all are over their bound.
             cached_at: Endpoint elsewhere that has the shared parts of the prompt.
 
         Returns:
@@ -206,26 +206,30 @@
         )
         if not counted:
             return None
-        risk = RETRYABLE_FAILURE_LOAD if repeatable else NON_RETRYABLE_FAILURE_LOAD
+        risk = RETRYABLE_FAILURE_LOAD if retryable else NON_RETRYABLE_FAILURE_LOAD
         choice = None
         if shared_parts(request=request):
             choice = self._least_cost(
                 request=request,
                 candidates=counted,
                 loads=loads,
-                mean=mean,
-                risk=risk,
-                exact=True,
+                mean_load=mean,
+                failure_load=risk,
+                exact_loads=True,
                 cached_at=cached_at,
             )
         if choice is None:
             choice = self._least_loaded(
-                candidates=counted, loads=loads, mean=mean, risk=risk, exact=True
+                candidates=counted,
+                loads=loads,
+                mean_load=mean,
+                failure_load=risk,
+                exact_loads=True,
             )
             bound = load_bound(entry=choice.entry, mean=mean)
-            if choice.load + 1 > bound and not must:
+            if choice.load + 1 > bound and not ignore_bound:
                 return None
-        return self._counted(choice=choice, request=request)
+        return self._record_cold_and_choice(choice=choice, request=request)
 
     def cache_holder(
         self, *, service: ServiceName, request: HasPrompt
@@ -234,12 +238,12 @@
         candidates = self._view.ready(service=service)
         if not candidates or not shared_parts(request=request):
             return None
-        cached = self._cached.look_up(request=request, candidates=candidates)
+        cached = self._cached_prompts.look_up(request=request, candidates=candidates)
         if cached.min_missing_tokens or cached.holder is None:
             return None
         return cached.holder.endpoint
 
-    def _counted(self, *, choice: Choice, request: HasPrompt) -> Choice:
+    def _record_cold_and_choice(self, *, choice: Choice, request: HasPrompt) -> Choice:
         """Count a request where it goes, if that is cold, and note its prompt there."""
         self._cold.record_request(entry=choice.entry)
         return self.record_choice(choice=choice, request=request)
@@ -256,7 +260,7 @@
         )
         return replace(choice, new_parts=noted)
 
-    def _share(self, entry: EndpointEntry) -> float:
+    def _error_rate(self, entry: EndpointEntry) -> float:
         return self._health.error_rate(endpoint=entry.endpoint)
 
     def _least_cost(
@@ -265,9 +269,9 @@
         request: HasPrompt,
         candidates: Sequence[EndpointEntry],
         loads: Counter[EndpointId],
-        mean: float,
-        risk: float,
-        exact: bool = False,
+        mean_load: float,
+        failure_load: float,
+        exact_loads: bool = False,
         cached_at: EndpointId | None = None,
     ) -> Choice | None:
         """Choose where the least has to be read, among those within the bound.
@@ -276,28 +280,30 @@
             request: What is to be sent.
             candidates: Where it can go.
             loads: Requests in flight.
-            mean: The mean of them.
-            risk: Requests of load that weigh as much as certain failure.
-            exact: Whether nobody else sends there what these loads don't count yet.
+            mean_load: The mean of them.
+            failure_load: Requests of load that weigh as much as certain failure.
+            exact_loads: Whether nobody else sends there what these loads don't count yet.
             cached_at: Endpoint elsewhere that has the shared parts of the prompt.
         """
-        many = not exact and self._loads.routers > LARGE_FLEET_ROUTERS
+        many = not exact_loads and self._loads.routers > LARGE_FLEET_ROUTERS
         nearness = self._generator.uniform(MIN_BOUND_FRACTION, 1.0) if many else 1.0
         within = [
             entry
             for entry in candidates
             if loads[entry.endpoint] + 1
-            <= load_bound(entry=entry, mean=mean, bound_fraction=nearness)
+            <= load_bound(entry=entry, mean=mean_load, bound_fraction=nearness)
         ]
         if not within:
             return None
         home = preferred_endpoint(request=request, candidates=candidates, sharded=many)
-        cached = self._cached.look_up(
+        cached = self._cached_prompts.look_up(
             request=request, candidates=candidates, cached_at=cached_at
         )
         if many:
-            within = self._sampled(entries=within, cached=cached, home=home)
-        home_tokens = LARGE_FLEET_AFFINITY_TOKENS if many or exact else AFFINITY_TOKENS
+            within = self._sample(entries=within, cached=cached, preferred=home)
+        home_tokens = (
+            LARGE_FLEET_AFFINITY_TOKENS if many or exact_loads else AFFINITY_TOKENS
+        )
 
         reading = self._loads.queued_tokens()
 
@@ -306,7 +312,7 @@
                 work=cached.work_at(endpoint=entry.endpoint),
                 queued=reading[entry.endpoint],
                 load=loads[entry.endpoint],
-                expected_failures=risk * self._share(entry),
+                expected_failures=failure_load * self._error_rate(entry),
             )
             return cost - home_tokens * (cached.is_uncached and entry is home)
 
@@ -326,7 +332,7 @@
             entry=entry,
             reason=ChoiceReason.LEAST_COST if lacks else ChoiceReason.CACHED,
             load=loads[entry.endpoint],
-            mean_load=mean,
+            mean_load=mean_load,
             candidate_count=len(candidates),
             part_tag=part_tag(
                 model=request.model, part=shared_parts(request=request)[-1]
@@ -338,15 +344,19 @@
             fetch_from=cached.holder if fetch else None,
         )
 
-    def _sampled(
-        self, *, entries: list[EndpointEntry], cached: CachedPrompt, home: EndpointEntry
+    def _sample(
+        self,
+        *,
+        entries: list[EndpointEntry],
+        cached: CachedPrompt,
+        preferred: EndpointEntry,
     ) -> list[EndpointEntry]:
         """Choose the endpoints to compare: those with a cache, and some others."""
         holding = [
             entry
             for entry in entries
             if (
-                entry is home
+                entry is preferred
                 if cached.is_uncached
                 else cached.missing_tokens[entry.endpoint] <= cached.min_missing_tokens
             )
@@ -359,18 +369,18 @@
         *,
         candidates: Sequence[EndpointEntry],
         loads: Counter[EndpointId],
-        mean: float,
-        risk: float,
-        exact: bool = False,
+        mean_load: float,
+        failure_load: float,
+        exact_loads: bool = False,
     ) -> Choice:
         compared = candidates
-        if not exact and self._loads.routers > LARGE_FLEET_ROUTERS:
+        if not exact_loads and self._loads.routers > LARGE_FLEET_ROUTERS:
             count = min(PROMPTLESS_SAMPLE_SIZE, len(candidates))
             compared = self._generator.sample(candidates, count)
         entry = min(
             compared,
             key=lambda entry: (
-                round(loads[entry.endpoint] + risk * self._share(entry)),
+                round(loads[entry.endpoint] + failure_load * self._error_rate(entry)),
                 entry.failure_domain != self._failure_domain,
                 self._generator.random(),
             ),
@@ -379,6 +389,6 @@
             entry=entry,
             reason=ChoiceReason.LEAST_LOADED,
             load=loads[entry.endpoint],
-            mean_load=mean,
+            mean_load=mean_load,
             candidate_count=len(candidates),
         )
--- a/dotterelpaddle/owners/owner.py
+++ b/dotterelpaddle/owners/owner.py
@@ -78,10 +78,10 @@
                 service=wanted.service,
                 shard=wanted.shard,
                 request=wanted,
-                repeatable=wanted.repeatable,
+                retryable=wanted.repeatable,
                 excluded=wanted.excluded,
                 loads=self._current_loads(wanted=wanted),
-                must=wanted.ignore_bound,
+                ignore_bound=wanted.ignore_bound,
                 cached_at=wanted.cached_at,
             )
         except NoEndpoint as error:
--- a/dotterelpaddle/owners/placing.py
+++ b/dotterelpaddle/owners/placing.py
@@ -95,7 +95,7 @@
         choice = self._placer.choose(
             service=service,
             request=request,
-            repeatable=repeatable,
+            retryable=repeatable,
             excluded=excluded,
             decider=(
                 Decider.NON_OWNER if self._directory.owners() else Decider.OWNERLESS
--- a/dotterelpaddle/tests/forwarding/test_cold.py
+++ b/dotterelpaddle/tests/forwarding/test_cold.py
@@ -138,7 +138,7 @@
         choice = self.placer.choose(
             service=SERVICE,
             request=make_request(),
-            repeatable=True,
+            retryable=True,
             excluded=frozenset(),
             decider=decider,
         )
--- a/dotterelpaddle/tests/forwarding/test_herding.py
+++ b/dotterelpaddle/tests/forwarding/test_herding.py
@@ -90,7 +90,7 @@
         choice = _placer(routers=routers, loads=loads, seed=seed).choose(
             service=ServiceName("engines"),
             request=request,
-            repeatable=True,
+            retryable=True,
             excluded=frozenset(),
         )
         chosen[choice.entry.endpoint] += 1
