--- a/dotterelpaddle/forwarding/candidates.py
+++ b/dotterelpaddle/forwarding/candidates.py
@@ -58,7 +58,7 @@
         excluded: frozenset[EndpointId],
     ) -> list[EndpointEntry]:
         """Return the endpoints of a service that are not passed over."""
-        fresh = self._fresh(service=service, request=request, excluded=excluded)
+        fresh = self._untried(service=service, request=request, excluded=excluded)
         reachable = self._reachability.reachable(entries=fresh)
         return self._health.usable(entries=reachable)
 
@@ -86,7 +86,7 @@
         Raises:
             NoEndpoint: If nothing is.
         """
-        fresh = self._fresh(service=service, request=request, excluded=excluded)
+        fresh = self._untried(service=service, request=request, excluded=excluded)
         reachable = self._reachability.reachable(entries=fresh)
         usable = self._health.usable(entries=reachable)
         if usable:
@@ -106,11 +106,11 @@
         raise NoEndpoint(
             f"service '{service}' has no endpoint that takes this request, "
             f"{len(fresh)} of its endpoints are out of reach",
-            retry_after=self._return_wait(service=service, fresh=fresh),
+            retry_after=self._retry_after(service=service, untried=fresh),
         )
 
-    def _return_wait(
-        self, *, service: ServiceName, fresh: Sequence[EndpointEntry]
+    def _retry_after(
+        self, *, service: ServiceName, untried: Sequence[EndpointEntry]
     ) -> float:
         """Seconds until an endpoint may be there again.
 
@@ -121,9 +121,9 @@
         if listed and not self._view.evacuations.exclude_evacuated(entries=listed):
             return EVACUATED_RETRY_AFTER_SECONDS
         quiet = self._quiet.shortest_wait(entries=self._view.ready(service=service))
-        return NO_ENDPOINT_RETRY_AFTER_SECONDS if fresh or quiet is None else quiet
+        return NO_ENDPOINT_RETRY_AFTER_SECONDS if untried or quiet is None else quiet
 
-    def _fresh(
+    def _untried(
         self,
         *,
         service: ServiceName,
