--- a/dotterelpaddle/forwarding/cost.py
+++ b/dotterelpaddle/forwarding/cost.py
@@ -51,7 +51,7 @@
 
 
 def prompt_cost(
-    *, work: PromptWork, queued: float, load: int, expected_failures: float
+    *, work: PromptWork, queued_tokens: float, load: int, failure_load: float
 ) -> float:
     """Return the cost of sending a prompt to an endpoint.
 
@@ -62,13 +62,9 @@
 
     Args:
         work: What the endpoint has to do for it.
-        queued: Tokens that it has to read for others first.
+        queued_tokens: Tokens that it has to read for others first.
         load: Requests that are in flight there.
-        expected_failures: Requests of load that weigh as much as the failures there.
+        failure_load: Requests of load that weigh as much as the failures there.
     """
-    waits = max(0.0, queued - MAX_FREE_QUEUE_TOKENS)
-    return (
-        work.equivalent_tokens
-        + waits
-        + REQUEST_LOAD_TOKENS * (load + expected_failures)
-    )
+    waits = max(0.0, queued_tokens - MAX_FREE_QUEUE_TOKENS)
+    return work.equivalent_tokens + waits + REQUEST_LOAD_TOKENS * (load + failure_load)
--- a/dotterelpaddle/forwarding/placement.py
+++ b/dotterelpaddle/forwarding/placement.py
@@ -310,9 +310,9 @@
         def _cost(entry: EndpointEntry) -> float:
             cost = prompt_cost(
                 work=cached.work_at(endpoint=entry.endpoint),
-                queued=reading[entry.endpoint],
+                queued_tokens=reading[entry.endpoint],
                 load=loads[entry.endpoint],
-                expected_failures=failure_load * self._error_rate(entry),
+                failure_load=failure_load * self._error_rate(entry),
             )
             return cost - home_tokens * (cached.is_uncached and entry is home)
 
--- a/dotterelpaddle/tests/forwarding/test_cost.py
+++ b/dotterelpaddle/tests/forwarding/test_cost.py
@@ -23,7 +23,7 @@
 
 def _cost(*, lacks: int = 0, queued: float = 0.0, load: int = 20) -> float:
     work = PromptWork(missing_tokens=lacks, fetchable_tokens=0, unique_tokens=500)
-    return prompt_cost(work=work, queued=queued, load=load, expected_failures=0.0)
+    return prompt_cost(work=work, queued_tokens=queued, load=load, failure_load=0.0)
 
 
 def test_cached_prompt_leaves_an_engine_that_reads_many_others() -> None:
