--- a/dotterelpaddle/forwarding/parts.py
+++ b/dotterelpaddle/forwarding/parts.py
@@ -154,21 +154,21 @@
 
 
 def build_components(
-    *, settings: ForwardSettings, surroundings: Dependencies
+    *, settings: ForwardSettings, dependencies: Dependencies
 ) -> Components:
     """Put the parts of a router together.
 
     Args:
         settings: The router's settings.
-        surroundings: What it is connected to.
+        dependencies: What it is connected to.
     """
-    clock = surroundings.clock
+    clock = dependencies.clock
     generator = random.Random(settings.router)
-    knowledge = _knowledge(settings=settings, clock=clock)
+    knowledge = _build_shared_state(settings=settings, clock=clock)
     directory = knowledge.directory
-    backend = LinkedBackend(links=surroundings.links)
+    backend = LinkedBackend(links=dependencies.links)
     client = ForwardClient(
-        protocols=surroundings.protocols,
+        protocols=dependencies.protocols,
         backend=backend,
         clock=clock,
         signs=knowledge.liveness,
@@ -184,7 +184,7 @@
     )
     metrics = ForwardMetrics()
     follower = Follower(
-        source=surroundings.source,
+        source=dependencies.source,
         view=knowledge.view,
         peer_summary=word,
         metrics=metrics,
@@ -276,7 +276,7 @@
         state=knowledge,
         app=ForwardApp(
             pipeline=compose(filters=filters),
-            protocols=surroundings.protocols,
+            protocols=dependencies.protocols,
             view=knowledge.view,
             isolation=isolation,
             metrics=metrics,
@@ -319,14 +319,14 @@
             caches=knowledge.caches,
             directory=knowledge.directory,
             word=word,
-            documents=surroundings.documents,
+            documents=dependencies.documents,
             cache_lists=CacheDiscovery(
                 view=knowledge.view,
                 caches=knowledge.caches,
                 word=word,
                 shards=shards,
                 quiet=knowledge.quiet,
-                reader=surroundings.cache_reader,
+                reader=dependencies.cache_reader,
                 failure_domain=settings.failure_domain,
                 clock=clock,
             ),
@@ -338,7 +338,7 @@
     )
 
 
-def _knowledge(*, settings: ForwardSettings, clock: Clock) -> SharedState:
+def _build_shared_state(*, settings: ForwardSettings, clock: Clock) -> SharedState:
     caches = CacheMap(clock=clock)
     if settings.first_start:
         # The whole fleet starts for the first time: no endpoint has cached anything.
--- a/dotterelpaddle/forwarding/router.py
+++ b/dotterelpaddle/forwarding/router.py
@@ -69,7 +69,7 @@
     Yields:
         The router. It serves once it knows configuration and endpoints.
     """
-    parts = build_components(settings=settings, surroundings=surroundings)
+    parts = build_components(settings=settings, dependencies=surroundings)
     app, knowledge = parts.app, parts.state
     grace = settings.shutdown_timeout - settings.drain_time - SHUTDOWN_MARGIN_SECONDS
     async with (
--- a/dotterelpaddle/tests/owners/hosts.py
+++ b/dotterelpaddle/tests/owners/hosts.py
@@ -139,7 +139,7 @@
             link_mbps=link,
             drain_time=leave_time,
         ),
-        surroundings=Dependencies(
+        dependencies=Dependencies(
             source=unused,
             protocols=protocols,
             documents=unused,
