--- a/dotterelpaddle/forwarding/caches.py
+++ b/dotterelpaddle/forwarding/caches.py
@@ -58,13 +58,13 @@
     def __init__(self, *, clock: Clock) -> None:
         self._clock = clock
         self._holders: OrderedDict[PartTag, dict[EndpointId, float]] = OrderedDict()
-        self._news = {
+        self._pending = {
             UseOrigin.LOCAL: UseQueue(),
             UseOrigin.SAME_DOMAIN: UseQueue(most=MAX_FORWARDED_USES_PER_REPORT),
             UseOrigin.OTHER_DOMAIN: UseQueue(most=MAX_FORWARDED_USES_PER_REPORT),
         }
-        self._told: dict[PartUse, float] = {}
-        self._known = anyio.Event()
+        self._reported_at: dict[PartUse, float] = {}
+        self._populated = anyio.Event()
 
     @property
     def part_count(self) -> int:
@@ -74,11 +74,11 @@
     @property
     def is_populated(self) -> bool:
         """Whether what endpoints had cached before this process began is known."""
-        return self._known.is_set()
+        return self._populated.is_set()
 
     def mark_populated(self) -> None:
         """Note that it is, or can't be."""
-        self._known.set()
+        self._populated.set()
 
     async def wait_until_populated(self) -> None:
         """Wait until it is known, for a moment at most.
@@ -87,7 +87,7 @@
         have it, which takes as long as the wait and makes others wait as well.
         """
         with anyio.move_on_after(MAX_STARTUP_WAIT_SECONDS):
-            await self._known.wait()
+            await self._populated.wait()
 
     def cached_tokens(self, *, request: HasPrompt) -> dict[EndpointId, int]:
         """Tell how many tokens of shared parts endpoints have; most have none.
@@ -134,29 +134,29 @@
         for part in parts:
             self._holders.get(part, {}).pop(endpoint, None)
             use = (part, endpoint)
-            self._told.pop(use, None)
-            self._news[UseOrigin.LOCAL].discard(use=use)
+            self._reported_at.pop(use, None)
+            self._pending[UseOrigin.LOCAL].discard(use=use)
 
     def record_part(self, *, endpoint: EndpointId, part: PartTag) -> None:
         """Note that an endpoint has a part, and tell other routers."""
-        self._take_in((part, endpoint), UseOrigin.LOCAL, self._clock())
+        self._record_use((part, endpoint), UseOrigin.LOCAL, self._clock())
 
     def receive(
-        self, *, uses: Iterable[PartUse], pass_on: UseOrigin | None = None
+        self, *, uses: Iterable[PartUse], forward_as: UseOrigin | None = None
     ) -> None:
         """Take in where another router sent requests.
 
         Args:
             uses: What it told.
-            pass_on: Where it is, if others hear of it through this router.
+            forward_as: Where it is, if others hear of it through this router.
         """
         now = self._clock()
         for use in uses:
-            self._take_in(use, pass_on, now)
+            self._record_use(use, forward_as, now)
 
     def take_pending(self, *, origin: UseOrigin = UseOrigin.LOCAL) -> list[PartUse]:
         """The next uses of an origin to tell the others; each is told a few times."""
-        return self._news[origin].take()
+        return self._pending[origin].take()
 
     def all_uses(self) -> list[PartUse]:
         """All that is known, for a router that has just started."""
@@ -166,29 +166,30 @@
             for endpoint in holders
         ]
 
-    def _take_in(self, use: PartUse, origin: UseOrigin | None, now: float) -> None:
+    def _record_use(self, use: PartUse, origin: UseOrigin | None, now: float) -> None:
         """Note a use, and let others be told unless they have been of late."""
         part, endpoint = use
         is_new = endpoint not in self._holders.get(part, ())
         if (
             is_new
-            or now - self._told.get(use, float("-inf")) >= MIN_REPEAT_REPORT_SECONDS
+            or now - self._reported_at.get(use, float("-inf"))
+            >= MIN_REPEAT_REPORT_SECONDS
         ):
-            self._told[use] = now
+            self._reported_at[use] = now
             if origin is not None:
-                self._news[origin].put(use=use)
-        self._hold(part, endpoint, now)
+                self._pending[origin].put(use=use)
+        self._record_holder(part, endpoint, now)
 
-    def _hold(self, held: PartTag, endpoint: EndpointId, now: float) -> None:
-        holders = self._holders.get(held)
+    def _record_holder(self, part: PartTag, endpoint: EndpointId, now: float) -> None:
+        holders = self._holders.get(part)
         if holders is None:
-            holders = self._holders[held] = {}
+            holders = self._holders[part] = {}
         holders[endpoint] = now
-        self._holders.move_to_end(held)
+        self._holders.move_to_end(part)
         if len(self._holders) > MAX_PARTS:
             dropped, endpoints = self._holders.popitem(last=False)
             for each in endpoints:
-                self._told.pop((dropped, each), None)
+                self._reported_at.pop((dropped, each), None)
 
 
 def shared_parts(*, request: HasPrompt) -> Sequence[PromptPart]:
--- a/dotterelpaddle/peers/exchange.py
+++ b/dotterelpaddle/peers/exchange.py
@@ -307,7 +307,7 @@
             ask=report.ask,
         )
         origin = self._origin(report=report)
-        self._caches.receive(uses=report.uses, pass_on=origin)
+        self._caches.receive(uses=report.uses, forward_as=origin)
         self._crashes.receive(notes=report.crashes, pass_on=origin is not None)
         self._view.leaving.receive(notices=report.leaving_endpoints)
         if report.evacuated is not None:
--- a/dotterelpaddle/tests/forwarding/test_caches.py
+++ b/dotterelpaddle/tests/forwarding/test_caches.py
@@ -65,7 +65,7 @@
 def test_use_is_passed_on_as_news_of_its_origin() -> None:
     caches = CacheMap(clock=lambda: 0.0)
 
-    caches.receive(uses=[(1, A)], pass_on=UseOrigin.SAME_DOMAIN)
+    caches.receive(uses=[(1, A)], forward_as=UseOrigin.SAME_DOMAIN)
     caches.receive(uses=[(2, A)])
 
     assert caches.take_pending(origin=UseOrigin.SAME_DOMAIN) == [(1, A)]
--- a/dotterelpaddle/tests/peers/test_cache_lists.py
+++ b/dotterelpaddle/tests/peers/test_cache_lists.py
@@ -130,7 +130,7 @@
     async with anyio.create_task_group() as tasks:
         tasks.start_soon(world.look, QUERY_DELAY_SECONDS)
         with anyio.fail_after(LIMIT):
-            await world.caches._known.wait()
+            await world.caches._populated.wait()
         read = len(world.caches.all_uses())
         tasks.cancel_scope.cancel()
 
