--- a/dotterelpaddle/forwarding/caches.py
+++ b/dotterelpaddle/forwarding/caches.py
@@ -60,8 +60,12 @@
         self._holders: OrderedDict[PartTag, dict[EndpointId, float]] = OrderedDict()
         self._pending = {
             UseOrigin.LOCAL: UseQueue(),
-            UseOrigin.SAME_DOMAIN: UseQueue(most=MAX_FORWARDED_USES_PER_REPORT),
-            UseOrigin.OTHER_DOMAIN: UseQueue(most=MAX_FORWARDED_USES_PER_REPORT),
+            UseOrigin.SAME_DOMAIN: UseQueue(
+                max_per_report=MAX_FORWARDED_USES_PER_REPORT
+            ),
+            UseOrigin.OTHER_DOMAIN: UseQueue(
+                max_per_report=MAX_FORWARDED_USES_PER_REPORT
+            ),
         }
         self._reported_at: dict[PartUse, float] = {}
         self._populated = anyio.Event()
--- a/dotterelpaddle/forwarding/uses.py
+++ b/dotterelpaddle/forwarding/uses.py
@@ -30,27 +30,27 @@
     """Uses that are still to be told.
 
     Args:
-        most: Uses that are told in one report.
+        max_per_report: Uses that are told in one report.
     """
 
-    def __init__(self, *, most: int = MAX_LOCAL_USES_PER_REPORT) -> None:
-        self._most = most
-        self._left: OrderedDict[PartUse, int] = OrderedDict()
+    def __init__(self, *, max_per_report: int = MAX_LOCAL_USES_PER_REPORT) -> None:
+        self._max_per_report = max_per_report
+        self._reports_left: OrderedDict[PartUse, int] = OrderedDict()
 
     def put(self, *, use: PartUse) -> None:
         """Let a use be told in the next reports."""
-        self._left[use] = REPORTS_PER_USE
-        self._left.move_to_end(use)
+        self._reports_left[use] = REPORTS_PER_USE
+        self._reports_left.move_to_end(use)
 
     def discard(self, *, use: PartUse) -> None:
         """Tell a use no more."""
-        self._left.pop(use, None)
+        self._reports_left.pop(use, None)
 
     def take(self) -> list[PartUse]:
         """The uses for the next reports; each is told a few times."""
-        told = list(islice(self._left, self._most))
+        told = list(islice(self._reports_left, self._max_per_report))
         for use in told:
-            left = self._left.pop(use) - 1
+            left = self._reports_left.pop(use) - 1
             if left:
-                self._left[use] = left
+                self._reports_left[use] = left
         return told
