--- a/dotterelpaddle/forwarding/crashes.py
+++ b/dotterelpaddle/forwarding/crashes.py
@@ -398,7 +398,7 @@
     )
     if told.kind is not NoteKind.ENDED:
         pause = float("inf")
-    return told.observation.report_state.is_due(now=now, pause=pause)
+    return told.observation.report_state.is_due(now=now, interval=pause)
 
 
 def _block_time(*, ended: int) -> float:
--- a/dotterelpaddle/forwarding/leaving.py
+++ b/dotterelpaddle/forwarding/leaving.py
@@ -109,7 +109,7 @@
         due = [
             (endpoint, heard)
             for endpoint, heard in self._heard.items()
-            if heard.telling.is_due(now=now, pause=RESEND_INTERVAL_SECONDS)
+            if heard.telling.is_due(now=now, interval=RESEND_INTERVAL_SECONDS)
         ]
         due.sort(key=lambda item: item[1].at, reverse=True)
         for _, heard in due[:MAX_NOTICES_PER_REPORT]:
--- a/dotterelpaddle/forwarding/telling.py
+++ b/dotterelpaddle/forwarding/telling.py
@@ -20,9 +20,9 @@
     reports_left: int = REPORTS_PER_UPDATE
     reported_at: float = float("-inf")
 
-    def is_due(self, *, now: float, pause: float) -> bool:
+    def is_due(self, *, now: float, interval: float) -> bool:
         """Tell whether it is news, or was told some seconds ago or more."""
-        return self.reports_left > 0 or now - self.reported_at >= pause
+        return self.reports_left > 0 or now - self.reported_at >= interval
 
     def mark_reported(self, *, now: float) -> None:
         """Note that it is told now."""
