--- a/dotterelpaddle/forwarding/shares.py
+++ b/dotterelpaddle/forwarding/shares.py
@@ -77,7 +77,7 @@
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
-class _Told:
+class _ReceivedTotals:
     totals: RequestTotals
     domain: FailureDomain
     received_at: float
@@ -94,12 +94,12 @@
     def __init__(self, *, failure_domain: FailureDomain, clock: Clock) -> None:
         self._failure_domain = failure_domain
         self._clock = clock
-        self._routers: dict[RouterId, _Told] = {}
-        self._domains: dict[FailureDomain, _Told] = {}
-        self._others: _Told | None = None
-        self._asked: dict[RouterId, float] = {}
-        self._aggregates = True
-        self._aggregated = False
+        self._by_router: dict[RouterId, _ReceivedTotals] = {}
+        self._by_domain: dict[FailureDomain, _ReceivedTotals] = {}
+        self._others: _ReceivedTotals | None = None
+        self._requested_at: dict[RouterId, float] = {}
+        self._is_aggregator = True
+        self._has_aggregators = False
 
     @property
     def is_aggregator(self) -> bool:
@@ -107,20 +107,20 @@
 
         Otherwise it relies on those that do.
         """
-        return self._aggregates
+        return self._is_aggregator
 
     @is_aggregator.setter
     def is_aggregator(self, aggregates: bool) -> None:
-        self._aggregates = aggregates
+        self._is_aggregator = aggregates
 
     @property
     def has_aggregators(self) -> bool:
         """Whether the fleet is so large that a few routers aggregate for the others."""
-        return self._aggregated
+        return self._has_aggregators
 
     @has_aggregators.setter
     def has_aggregators(self, aggregated: bool) -> None:
-        self._aggregated = aggregated
+        self._has_aggregators = aggregated
 
     @property
     def router_count(self) -> int:
@@ -132,7 +132,9 @@
         """Routers that ask this one to aggregate for them."""
         oldest = self._clock() - MAX_TOTALS_AGE_SECONDS
         return frozenset(
-            router for router, asked_at in self._asked.items() if asked_at >= oldest
+            router
+            for router, asked_at in self._requested_at.items()
+            if asked_at >= oldest
         )
 
     def receive(
@@ -140,78 +142,81 @@
         *,
         router: RouterId,
         failure_domain: FailureDomain,
-        share: RequestTotals,
-        ask: ReplyRequest = ReplyRequest.NOTHING,
+        totals: RequestTotals,
+        reply_request: ReplyRequest = ReplyRequest.NOTHING,
     ) -> None:
         """Take in what a router told.
 
         Args:
             router: Who told it.
             failure_domain: Where that is.
-            share: What it told.
-            ask: What it asks in return; sums of all others, say.
+            totals: What it told.
+            reply_request: What it asks in return; sums of all others, say.
         """
         now = self._clock()
-        told = _Told(totals=share, domain=failure_domain, received_at=now)
-        match share.scope:
+        told = _ReceivedTotals(totals=totals, domain=failure_domain, received_at=now)
+        match totals.scope:
             case TotalsScope.ROUTER:
-                self._routers[router] = told
+                self._by_router[router] = told
             case TotalsScope.DOMAIN:
-                self._domains[failure_domain] = told
+                self._by_domain[failure_domain] = told
             case TotalsScope.OTHERS:
                 self._others = told
-        match ask:
+        match reply_request:
             case ReplyRequest.AGGREGATE:
-                self._asked[router] = now
+                self._requested_at[router] = now
             case ReplyRequest.NOTHING:
-                self._asked.pop(router, None)
+                self._requested_at.pop(router, None)
 
     def current(
         self, *, max_age: float = MAX_TOTALS_AGE_SECONDS
     ) -> tuple[RequestTotals, ...]:
         """Shares that together count each other router once, as far as known."""
         others = self._others
-        if others is not None and not self._aggregates and self._is_fresh(others):
+        if others is not None and not self._is_aggregator and self._is_fresh(others):
             return (others.totals,)
-        near = [told.totals for told in self._near(max_age=max_age).values()]
-        return (*near, *self._far(max_age=max_age))
+        near = [told.totals for told in self._same_domain(max_age=max_age).values()]
+        return (*near, *self._other_domains(max_age=max_age))
 
     def domain_totals(self, *, own: RequestTotals) -> RequestTotals:
         """Sum up the own failure domain for other ones."""
-        return sum_totals(scope=TotalsScope.DOMAIN, shares=[own, *self._near_shares()])
+        return sum_totals(
+            scope=TotalsScope.DOMAIN, totals=[own, *self._same_domain_totals()]
+        )
 
     def totals_except(self, *, own: RequestTotals, router: RouterId) -> RequestTotals:
         """Sum up for a router of the own failure domain all that others told."""
-        near = self._near(max_age=MAX_TOTALS_AGE_SECONDS)
+        near = self._same_domain(max_age=MAX_TOTALS_AGE_SECONDS)
         near.pop(router, None)
         shares = [own, *(told.totals for told in near.values())]
-        shares += self._far(max_age=MAX_TOTALS_AGE_SECONDS)
-        return sum_totals(scope=TotalsScope.OTHERS, shares=shares)
+        shares += self._other_domains(max_age=MAX_TOTALS_AGE_SECONDS)
+        return sum_totals(scope=TotalsScope.OTHERS, totals=shares)
 
-    def _near_shares(self) -> list[RequestTotals]:
+    def _same_domain_totals(self) -> list[RequestTotals]:
         return [
-            told.totals for told in self._near(max_age=MAX_TOTALS_AGE_SECONDS).values()
+            told.totals
+            for told in self._same_domain(max_age=MAX_TOTALS_AGE_SECONDS).values()
         ]
 
-    def _near(self, *, max_age: float) -> dict[RouterId, _Told]:
+    def _same_domain(self, *, max_age: float) -> dict[RouterId, _ReceivedTotals]:
         """What routers of the own failure domain told of themselves."""
         return {
             router: told
-            for router, told in self._routers.items()
+            for router, told in self._by_router.items()
             if told.domain == self._failure_domain
             and self._is_fresh(told, max_age=max_age)
         }
 
-    def _far(self, *, max_age: float) -> list[RequestTotals]:
+    def _other_domains(self, *, max_age: float) -> list[RequestTotals]:
         """What was told of other failure domains: sums, where there are any."""
         aggregated = {
             domain: told.totals
-            for domain, told in self._domains.items()
+            for domain, told in self._by_domain.items()
             if domain != self._failure_domain and self._is_fresh(told)
         }
         single = [
             told.totals
-            for told in self._routers.values()
+            for told in self._by_router.values()
             if told.domain != self._failure_domain
             and told.domain not in aggregated
             and self._is_fresh(told, max_age=max_age)
@@ -219,19 +224,19 @@
         return [*aggregated.values(), *single]
 
     def _is_fresh(
-        self, told: _Told, *, max_age: float = MAX_TOTALS_AGE_SECONDS
+        self, received: _ReceivedTotals, *, max_age: float = MAX_TOTALS_AGE_SECONDS
     ) -> bool:
-        return self._clock() - told.received_at <= max_age
+        return self._clock() - received.received_at <= max_age
 
 
-def sum_totals(*, scope: TotalsScope, shares: Iterable[RequestTotals]) -> RequestTotals:
+def sum_totals(*, scope: TotalsScope, totals: Iterable[RequestTotals]) -> RequestTotals:
     """Add shares up."""
     routers = 0
     loads: Counter[EndpointId] = Counter()
     reading: Counter[EndpointId] = Counter()
     requests: Counter[ServiceName] = Counter()
     repeats: Counter[ServiceName] = Counter()
-    for share in shares:
+    for share in totals:
         routers += share.routers
         loads.update(share.loads)
         reading.update(share.queued_tokens)
--- a/dotterelpaddle/peers/exchange.py
+++ b/dotterelpaddle/peers/exchange.py
@@ -303,8 +303,8 @@
         self._shares.receive(
             router=report.router,
             failure_domain=report.failure_domain,
-            share=report.share,
-            ask=report.ask,
+            totals=report.share,
+            reply_request=report.ask,
         )
         origin = self._origin(report=report)
         self._caches.receive(uses=report.uses, forward_as=origin)
--- a/dotterelpaddle/tests/forwarding/test_cold.py
+++ b/dotterelpaddle/tests/forwarding/test_cold.py
@@ -98,7 +98,7 @@
         shares.receive(
             router=RouterId("other"),
             failure_domain=HERE,
-            share=RequestTotals(loads={WARM: 12}),
+            totals=RequestTotals(loads={WARM: 12}),
         )
         self.placer = ForwardPlacer(
             view=self.view,
--- a/dotterelpaddle/tests/forwarding/test_herding.py
+++ b/dotterelpaddle/tests/forwarding/test_herding.py
@@ -59,7 +59,9 @@
     shares.receive(
         router=RouterId("other"),
         failure_domain=HERE,
-        share=RequestTotals(scope=TotalsScope.OTHERS, routers=routers - 1, loads=loads),
+        totals=RequestTotals(
+            scope=TotalsScope.OTHERS, routers=routers - 1, loads=loads
+        ),
     )
     caches = CacheMap(clock=lambda: 0.0)
     caches.record_prompt(endpoint=HOLDER, request=HOT)
--- a/dotterelpaddle/tests/forwarding/test_loads.py
+++ b/dotterelpaddle/tests/forwarding/test_loads.py
@@ -42,7 +42,7 @@
     shares.receive(
         router=RouterId("other"),
         failure_domain=HERE,
-        share=RequestTotals(loads={ENDPOINT: 2}, queued_tokens={ENDPOINT: 300}),
+        totals=RequestTotals(loads={ENDPOINT: 2}, queued_tokens={ENDPOINT: 300}),
     )
     with book.track(endpoint=ENDPOINT, work_tokens=700):
         assert book.queued_tokens()[ENDPOINT] == 1000
--- a/dotterelpaddle/tests/forwarding/test_repeats.py
+++ b/dotterelpaddle/tests/forwarding/test_repeats.py
@@ -68,7 +68,7 @@
 
     def hear(routers: int) -> None:
         share = RequestTotals(scope=TotalsScope.OTHERS, routers=routers)
-        shares.receive(router=RouterId("aggregator"), failure_domain=HERE, share=share)
+        shares.receive(router=RouterId("aggregator"), failure_domain=HERE, totals=share)
         repeats.counts()
 
     hear(11)
@@ -110,7 +110,7 @@
         self.shares[by].receive(
             router=RouterId(str(sender)),
             failure_domain=HERE,
-            share=RequestTotals(retries=counts),
+            totals=RequestTotals(retries=counts),
         )
 
     @initialize()
--- a/dotterelpaddle/tests/owners/test_owner.py
+++ b/dotterelpaddle/tests/owners/test_owner.py
@@ -136,7 +136,7 @@
     routers = _routers(world, 3)
     _settle(world, routers)
     told = RequestTotals(loads=dict.fromkeys(world.others[:3], SLOTS))
-    world.shares.receive(router=RouterId("far"), failure_domain=THERE, share=told)
+    world.shares.receive(router=RouterId("far"), failure_domain=THERE, totals=told)
     _, question = routers[0].question(shard=THERE)
 
     assert world.owner.decide(question=question).endpoint == world.others[3]
