--- a/dotterelpaddle/forwarding/crashes.py
+++ b/dotterelpaddle/forwarding/crashes.py
@@ -88,7 +88,7 @@
 
 
 @dataclass(kw_only=True, slots=True)
-class _Seen:
+class _Observation:
     """When something was seen, and whether it is still to be told."""
 
     at: float
@@ -100,9 +100,9 @@
 class _Suspect:
     """What is known of one request."""
 
-    crashes: dict[EndpointId, _Seen] = field(default_factory=dict)
-    attempts: dict[EndpointId, _Seen] = field(default_factory=dict)
-    served: _Seen | None = None
+    crashes: dict[EndpointId, _Observation] = field(default_factory=dict)
+    attempts: dict[EndpointId, _Observation] = field(default_factory=dict)
+    served: _Observation | None = None
 
     @property
     def last_crash_at(self) -> float:
@@ -140,7 +140,7 @@
     def __init__(self, *, clock: Clock) -> None:
         self._clock = clock
         self._suspects: dict[Fingerprint, _Suspect] = {}
-        self._known_causes: frozenset[Fingerprint] | None = None
+        self._cached_causes: frozenset[Fingerprint] | None = None
 
     @property
     def suspect_count(self) -> int:
@@ -162,27 +162,31 @@
         if suspect is None or not suspect.crashes:
             return
         now = self._clock()
-        tries = self._tries(suspect)
+        tries = self._attempts_in_flight(suspect)
         if fingerprint in self._causes():
-            left = suspect.last_crash_at + _block_time(ended=len(suspect.crashes)) - now
+            left = (
+                suspect.last_crash_at
+                + _block_seconds(crash_count=len(suspect.crashes))
+                - now
+            )
             if left > 0.0 or tries:
                 raise self._blocked_error(
                     suspect=suspect,
-                    tries=tries,
+                    attempts=tries,
                     wait=max(left, ATTEMPT_RETRY_AFTER_SECONDS),
                 )
         elif (
             len(suspect.crashes) < MIN_CRASHES_TO_BLOCK <= len(suspect.crashes) + tries
         ):
             raise self._blocked_error(
-                suspect=suspect, tries=tries, wait=ATTEMPT_RETRY_AFTER_SECONDS
+                suspect=suspect, attempts=tries, wait=ATTEMPT_RETRY_AFTER_SECONDS
             )
 
     def begin_attempt(self, *, fingerprint: Fingerprint, endpoint: EndpointId) -> None:
         """Note that a suspect is sent to an endpoint, for the other routers."""
         suspect = self._suspects.get(fingerprint)
         if suspect is not None and suspect.crashes:
-            suspect.attempts[endpoint] = _Seen(at=self._clock())
+            suspect.attempts[endpoint] = _Observation(at=self._clock())
 
     def end_attempt(self, *, fingerprint: Fingerprint, endpoint: EndpointId) -> None:
         """Note that a try came to an end, and its endpoint did not."""
@@ -194,44 +198,46 @@
         self, *, fingerprint: Fingerprint, endpoint: EndpointId, at: float, begun: bool
     ) -> None:
         """Note that an endpoint ended under a request."""
-        self._take_in_end(fingerprint, endpoint, _Seen(at=at, begun=begun))
+        self._apply_crash(fingerprint, endpoint, _Observation(at=at, begun=begun))
 
     def record_served(self, *, fingerprint: Fingerprint) -> None:
         """Note that an endpoint answered a request and did not end."""
         suspect = self._suspects.get(fingerprint)
         if suspect is not None and suspect.crashes:
-            self._acquit(fingerprint, suspect, _Seen(at=self._clock()))
+            self._clear(fingerprint, suspect, _Observation(at=self._clock()))
 
-    def receive(self, *, notes: Iterable[CrashNote], pass_on: bool) -> None:
+    def receive(self, *, notes: Iterable[CrashNote], forward: bool) -> None:
         """Take in what another router has seen.
 
         Args:
             notes: What it told.
-            pass_on: Whether others hear of it through this router.
+            forward: Whether others hear of it through this router.
         """
         now = self._clock()
         for note in notes:
             telling = (
                 ReportState()
-                if pass_on
+                if forward
                 else ReportState(reports_left=0, reported_at=now)
             )
-            seen = _Seen(at=now - note.age, begun=note.begun, report_state=telling)
+            seen = _Observation(
+                at=now - note.age, begun=note.begun, report_state=telling
+            )
             match note.kind:
                 case NoteKind.ENDED if note.endpoint:
-                    self._take_in_end(note.fingerprint, note.endpoint, seen)
+                    self._apply_crash(note.fingerprint, note.endpoint, seen)
                 case NoteKind.TRIED if note.endpoint:
-                    self._take_in_try(note.fingerprint, note.endpoint, seen)
+                    self._apply_attempt(note.fingerprint, note.endpoint, seen)
                 case NoteKind.SERVED:
                     suspect = self._suspects.get(note.fingerprint)
                     if suspect is not None:
-                        self._acquit(note.fingerprint, suspect, seen)
+                        self._clear(note.fingerprint, suspect, seen)
 
     def take_due_notes(self) -> list[CrashNote]:
         """What to tell in the next report, what matters most first."""
         now = self._clock()
-        self._forget(now=now)
-        due = [each for each in self._all_seen() if _is_due(each, now=now)]
+        self._expire(now=now)
+        due = [each for each in self._observations() if _is_due(each, now=now)]
         due.sort(
             key=lambda each: (
                 each.crash_count,
@@ -244,8 +250,8 @@
             each.observation.report_state.mark_reported(now=now)
         return [each.note(now=now) for each in told]
 
-    def _take_in_end(
-        self, fingerprint: Fingerprint, endpoint: EndpointId, seen: _Seen
+    def _apply_crash(
+        self, fingerprint: Fingerprint, endpoint: EndpointId, seen: _Observation
     ) -> None:
         suspect = self._suspects.setdefault(fingerprint, _Suspect())
         if suspect.served is not None and suspect.served.at >= seen.at:
@@ -256,7 +262,7 @@
             return
         suspect.crashes[endpoint] = seen
         suspect.attempts.pop(endpoint, None)
-        self._known_causes = None
+        self._cached_causes = None
         log.info(
             "request_suspected",
             fingerprint=fingerprint,
@@ -265,28 +271,30 @@
             begun=seen.begun,
             ended=len(suspect.crashes),
         )
-        self._bound()
+        self._evict()
 
-    def _take_in_try(
-        self, fingerprint: Fingerprint, endpoint: EndpointId, seen: _Seen
+    def _apply_attempt(
+        self, fingerprint: Fingerprint, endpoint: EndpointId, seen: _Observation
     ) -> None:
         suspect = self._suspects.setdefault(fingerprint, _Suspect())
         is_old = suspect.served is not None and suspect.served.at >= seen.at
         if not is_old and endpoint not in suspect.crashes:
             suspect.attempts.setdefault(endpoint, seen)
-        self._bound()
+        self._evict()
 
-    def _acquit(self, fingerprint: Fingerprint, suspect: _Suspect, seen: _Seen) -> None:
+    def _clear(
+        self, fingerprint: Fingerprint, suspect: _Suspect, seen: _Observation
+    ) -> None:
         if suspect.served is not None and suspect.served.at >= seen.at:
             return
         was_blocked = fingerprint in self._causes()
         suspect.served = seen
         suspect.forget_before(at=seen.at)
-        self._known_causes = None
+        self._cached_causes = None
         if was_blocked:
             log.info("request_block_ended", fingerprint=fingerprint, cause="served")
 
-    def _tries(self, suspect: _Suspect) -> int:
+    def _attempts_in_flight(self, suspect: _Suspect) -> int:
         oldest = self._clock() - MAX_ATTEMPT_SECONDS
         return sum(
             seen.at > oldest and endpoint not in suspect.crashes
@@ -295,18 +303,18 @@
 
     def _causes(self) -> frozenset[Fingerprint]:
         """Requests that are blocked, or would be tried once more."""
-        if self._known_causes is None:
-            self._known_causes = find_causes(
+        if self._cached_causes is None:
+            self._cached_causes = find_causes(
                 suspicions={
                     fingerprint: suspect.suspicion
                     for fingerprint, suspect in self._suspects.items()
                 },
                 least=MIN_CRASHES_TO_BLOCK,
             )
-        return self._known_causes
+        return self._cached_causes
 
     def _blocked_error(
-        self, *, suspect: _Suspect, tries: int, wait: float
+        self, *, suspect: _Suspect, attempts: int, wait: float
     ) -> RequestBlocked:
         now = self._clock()
         ends = sorted(suspect.crashes.items(), key=lambda item: item[1].at)
@@ -317,14 +325,14 @@
             retry_after=wait,
         )
 
-    def _all_seen(self) -> Iterator[_Tellable]:
+    def _observations(self) -> Iterator[_Reportable]:
         for fingerprint, suspect in self._suspects.items():
             for kind, all_seen in (
                 (NoteKind.ENDED, suspect.crashes),
                 (NoteKind.TRIED, suspect.attempts),
             ):
                 for endpoint, seen in all_seen.items():
-                    yield _Tellable(
+                    yield _Reportable(
                         kind=kind,
                         fingerprint=fingerprint,
                         endpoint=endpoint,
@@ -332,7 +340,7 @@
                         crash_count=len(suspect.crashes),
                     )
             if suspect.served is not None:
-                yield _Tellable(
+                yield _Reportable(
                     kind=NoteKind.SERVED,
                     fingerprint=fingerprint,
                     endpoint=None,
@@ -340,12 +348,12 @@
                     crash_count=len(suspect.crashes),
                 )
 
-    def _forget(self, *, now: float) -> None:
+    def _expire(self, *, now: float) -> None:
         causes = self._causes()
         for fingerprint, suspect in tuple(self._suspects.items()):
             kept = SUSPICION_SECONDS
             if fingerprint in causes:
-                kept += _block_time(ended=len(suspect.crashes))
+                kept += _block_seconds(crash_count=len(suspect.crashes))
             suspect.attempts = {
                 endpoint: seen
                 for endpoint, seen in suspect.attempts.items()
@@ -353,9 +361,9 @@
             }
             if now - suspect.last_seen_at > kept and not suspect.attempts:
                 del self._suspects[fingerprint]
-                self._known_causes = None
+                self._cached_causes = None
 
-    def _bound(self) -> None:
+    def _evict(self) -> None:
         """Forget the least suspect, oldest first, beyond what may be kept."""
         while len(self._suspects) > MAX_SUSPECTS:
             least = min(
@@ -369,13 +377,13 @@
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
-class _Tellable:
+class _Reportable:
     """Something that may be told, and how much it matters."""
 
     kind: NoteKind
     fingerprint: Fingerprint
     endpoint: EndpointId | None
-    observation: _Seen
+    observation: _Observation
     crash_count: int
 
     def note(self, *, now: float) -> CrashNote:
@@ -389,20 +397,20 @@
         )
 
 
-def _is_due(told: _Tellable, *, now: float) -> bool:
+def _is_due(reportable: _Reportable, *, now: float) -> bool:
     """Tell whether something is news, or an end that was told a while ago."""
     pause = (
         REPORT_INTERVAL_SECONDS
-        if told.crash_count > 1
+        if reportable.crash_count > 1
         else SINGLE_CRASH_REPORT_INTERVAL_SECONDS
     )
-    if told.kind is not NoteKind.ENDED:
+    if reportable.kind is not NoteKind.ENDED:
         pause = float("inf")
-    return told.observation.report_state.is_due(now=now, interval=pause)
+    return reportable.observation.report_state.is_due(now=now, interval=pause)
 
 
-def _block_time(*, ended: int) -> float:
+def _block_seconds(*, crash_count: int) -> float:
     """Seconds for which a request is blocked under which some endpoints ended."""
     return min(
-        MIN_BLOCK_SECONDS * 2 ** (ended - MIN_CRASHES_TO_BLOCK), MAX_BLOCK_SECONDS
+        MIN_BLOCK_SECONDS * 2 ** (crash_count - MIN_CRASHES_TO_BLOCK), MAX_BLOCK_SECONDS
     )
--- a/dotterelpaddle/peers/exchange.py
+++ b/dotterelpaddle/peers/exchange.py
@@ -308,7 +308,7 @@
         )
         origin = self._origin(report=report)
         self._caches.receive(uses=report.uses, forward_as=origin)
-        self._crashes.receive(notes=report.crashes, pass_on=origin is not None)
+        self._crashes.receive(notes=report.crashes, forward=origin is not None)
         self._view.leaving.receive(notices=report.leaving_endpoints)
         if report.evacuated is not None:
             self._view.evacuations.apply_snapshot(snapshot=report.evacuated)
--- a/dotterelpaddle/tests/forwarding/test_crashes.py
+++ b/dotterelpaddle/tests/forwarding/test_crashes.py
@@ -55,7 +55,7 @@
         notes = self.book.take_due_notes()
         for other in others:
             heard = [replace(note, age=note.age + DELAY) for note in notes]
-            other.book.receive(notes=heard, pass_on=pass_on)
+            other.book.receive(notes=heard, forward=pass_on)
         return len(notes)
 
 
