--- a/dotterelpaddle/forwarding/blame.py
+++ b/dotterelpaddle/forwarding/blame.py
@@ -30,7 +30,7 @@
 
 
 def find_causes(
-    *, suspicions: Mapping[Fingerprint, Suspicion], least: int
+    *, suspicions: Mapping[Fingerprint, Suspicion], min_crashes: int
 ) -> frozenset[Fingerprint]:
     """Return the requests that end endpoints.
 
@@ -41,7 +41,7 @@
 
     Args:
         suspicions: What speaks for each request.
-        least: Unexplained ends that make a request a cause.
+        min_crashes: Unexplained ends that make a request a cause.
     """
     explained: set[EndpointId] = set()
     causes = set()
@@ -49,9 +49,9 @@
         suspicions.items(), key=lambda item: (item[1].rank, item[0]), reverse=True
     )
     for fingerprint, suspicion in ranked:
-        if len(suspicion.crashed_endpoints) < least:
+        if len(suspicion.crashed_endpoints) < min_crashes:
             break
-        if len(suspicion.crashed_endpoints - explained) >= least:
+        if len(suspicion.crashed_endpoints - explained) >= min_crashes:
             causes.add(fingerprint)
             explained |= suspicion.crashed_endpoints
     return frozenset(causes)
--- a/dotterelpaddle/forwarding/crashes.py
+++ b/dotterelpaddle/forwarding/crashes.py
@@ -309,7 +309,7 @@
                     fingerprint: suspect.suspicion
                     for fingerprint, suspect in self._suspects.items()
                 },
-                least=MIN_CRASHES_TO_BLOCK,
+                min_crashes=MIN_CRASHES_TO_BLOCK,
             )
         return self._cached_causes
 
--- a/dotterelpaddle/tests/forwarding/test_blame.py
+++ b/dotterelpaddle/tests/forwarding/test_blame.py
@@ -32,7 +32,7 @@
     }
     suspicions[CULPRIT] = _suspicion("abcdefgh", begun=1)
 
-    assert find_causes(suspicions=suspicions, least=LEAST) == {CULPRIT}
+    assert find_causes(suspicions=suspicions, min_crashes=LEAST) == {CULPRIT}
 
 
 @given(st.lists(ENDS, max_size=6))
@@ -48,8 +48,8 @@
         for number, each in enumerate(ends)
     ]
 
-    assert find_causes(suspicions=dict(named), least=LEAST) == find_causes(
-        suspicions=dict(reversed(named)), least=LEAST
+    assert find_causes(suspicions=dict(named), min_crashes=LEAST) == find_causes(
+        suspicions=dict(reversed(named)), min_crashes=LEAST
     )
 
 
@@ -63,7 +63,7 @@
         )
         for number, each in enumerate(ends)
     }
-    causes = find_causes(suspicions=suspicions, least=LEAST)
+    causes = find_causes(suspicions=suspicions, min_crashes=LEAST)
     all_ended = {
         name for cause in causes for name in suspicions[cause].crashed_endpoints
     }
@@ -78,8 +78,8 @@
         second: _suspicion("cdefg"),
         beside: _suspicion("abg"),
     }
-    assert find_causes(suspicions=suspicions, least=LEAST) == {second}
+    assert find_causes(suspicions=suspicions, min_crashes=LEAST) == {second}
 
     suspicions[CULPRIT] = _suspicion("abch")
 
-    assert find_causes(suspicions=suspicions, least=LEAST) == {CULPRIT, second}
+    assert find_causes(suspicions=suspicions, min_crashes=LEAST) == {CULPRIT, second}
