--- a/dotterelpaddle/forwarding/signs.py
+++ b/dotterelpaddle/forwarding/signs.py
@@ -27,7 +27,7 @@
 """Answers of one endpoint whose requests' times are remembered."""
 
 
-class _Signs:
+class _Liveness:
     """What was seen of one endpoint."""
 
     def __init__(self) -> None:
@@ -44,7 +44,7 @@
 
     def __init__(self, *, clock: Clock) -> None:
         self._clock = clock
-        self._signs: dict[EndpointId, _Signs] = {}
+        self._endpoints: dict[EndpointId, _Liveness] = {}
 
     def record_bytes(self, *, endpoint: EndpointId) -> None:
         """Note that some bytes came from an endpoint."""
@@ -63,7 +63,7 @@
             endpoint: The endpoint.
             sent_at: When the request was sent.
         """
-        signs = self._signs.get(endpoint)
+        signs = self._endpoints.get(endpoint)
         if signs is None or self._clock() - signs.last_bytes_at > MAX_SILENCE_SECONDS:
             return False
         return (
@@ -73,11 +73,11 @@
 
     def retain(self, *, endpoints: frozenset[EndpointId]) -> None:
         """Forget all endpoints but some."""
-        for endpoint in self._signs.keys() - endpoints:
-            del self._signs[endpoint]
+        for endpoint in self._endpoints.keys() - endpoints:
+            del self._endpoints[endpoint]
 
-    def _of(self, endpoint: EndpointId) -> _Signs:
-        signs = self._signs.get(endpoint)
+    def _of(self, endpoint: EndpointId) -> _Liveness:
+        signs = self._endpoints.get(endpoint)
         if signs is None:
-            signs = self._signs[endpoint] = _Signs()
+            signs = self._endpoints[endpoint] = _Liveness()
         return signs
