--- a/dotterelpaddle/forwarding/parts.py
+++ b/dotterelpaddle/forwarding/parts.py
@@ -378,7 +378,7 @@
         crashes=CrashTracker(clock=clock),
         retry_budget=RetryBudget(
             limits=settings.retry_limits,
-            shares=shares,
+            totals=shares,
             routers=lambda: directory.router_count,
             clock=clock,
         ),
--- a/dotterelpaddle/forwarding/repeats.py
+++ b/dotterelpaddle/forwarding/repeats.py
@@ -76,7 +76,7 @@
 
     Args:
         limits: What repeats may cost.
-        shares: What other routers told.
+        totals: What other routers told.
         routers: Tells how many routers there are, this one included.
         clock: Monotonic clock.
     """
@@ -85,18 +85,18 @@
         self,
         *,
         limits: RetryLimits,
-        shares: TotalsTracker,
+        totals: TotalsTracker,
         routers: Callable[[], int],
         clock: Clock,
     ) -> None:
         self._limits = limits
-        self._shares = shares
+        self._totals = totals
         self._routers = routers
         self._clock = clock
         self._requests: dict[ServiceName, _Window] = {}
-        self._repeats: dict[ServiceName, _Window] = {}
-        self._most_heard = 1
-        self._most_heard_at = clock()
+        self._retries: dict[ServiceName, _Window] = {}
+        self._max_router_count = 1
+        self._max_router_count_at = clock()
 
     def count_request(self, *, service: ServiceName) -> None:
         """Count a request that came in for a service."""
@@ -110,18 +110,18 @@
         """Count a repeat; False, and nothing counted, without room for it."""
         if not self.has_room(service=service):
             return False
-        self._window(self._repeats, service).add(now=self._clock())
+        self._window(self._retries, service).add(now=self._clock())
         return True
 
     def counts(self) -> dict[ServiceName, RetryCounts]:
         """What this router sent in the last window, for the others."""
         now = self._clock()
-        self._note_heard(count=self._shares.router_count, now=now)
-        services = self._requests.keys() | self._repeats.keys()
+        self._record_router_count(count=self._totals.router_count, now=now)
+        services = self._requests.keys() | self._retries.keys()
         return {
             service: RetryCounts(
                 requests=self._window(self._requests, service).total(now=now),
-                retries=self._window(self._repeats, service).total(now=now),
+                retries=self._window(self._retries, service).total(now=now),
             )
             for service in services
         }
@@ -130,16 +130,16 @@
         """Repeats that this router may still make."""
         now = self._clock()
         own_requests = self._window(self._requests, service).total(now=now)
-        own_repeats = self._window(self._repeats, service).total(now=now)
+        own_repeats = self._window(self._retries, service).total(now=now)
         requests, repeats, heard = own_requests, own_repeats, 1
-        for share in self._shares.current(max_age=self._limits.window):
+        for share in self._totals.current(max_age=self._limits.window):
             heard += share.routers
             counts = share.retries.get(service)
             if counts is not None:
                 requests += counts.requests
                 repeats += counts.retries
-        self._note_heard(count=heard, now=now)
-        routers = max(self._routers(), self._most_heard)
+        self._record_router_count(count=heard, now=now)
+        routers = max(self._routers(), self._max_router_count)
         budget = BUDGET_SAFETY_FACTOR * (
             self._limits.share * requests + self._limits.allowance
         )
@@ -147,14 +147,14 @@
         unheard = (routers - heard) * budget / routers
         return (budget - repeats - unheard) / max(1.0, routers / 2)
 
-    def _note_heard(self, *, count: int, now: float) -> None:
+    def _record_router_count(self, *, count: int, now: float) -> None:
         """Remember the most routers whose repeats were counted of late."""
         if (
-            count >= self._most_heard
-            or now - self._most_heard_at > ROUTER_COUNT_MEMORY_SECONDS
+            count >= self._max_router_count
+            or now - self._max_router_count_at > ROUTER_COUNT_MEMORY_SECONDS
         ):
-            self._most_heard = count
-            self._most_heard_at = now
+            self._max_router_count = count
+            self._max_router_count_at = now
 
     def _window(
         self, windows: dict[ServiceName, _Window], service: ServiceName
--- a/dotterelpaddle/tests/forwarding/test_repeats.py
+++ b/dotterelpaddle/tests/forwarding/test_repeats.py
@@ -25,7 +25,7 @@
 def _repeats(*, routers: int = 1) -> RetryBudget:
     return RetryBudget(
         limits=LIMITS,
-        shares=TotalsTracker(failure_domain=HERE, clock=lambda: 0.0),
+        totals=TotalsTracker(failure_domain=HERE, clock=lambda: 0.0),
         routers=lambda: routers,
         clock=lambda: 0.0,
     )
@@ -63,7 +63,7 @@
     shares = TotalsTracker(failure_domain=HERE, clock=lambda: now)
     shares.is_aggregator = False
     repeats = RetryBudget(
-        limits=LIMITS, shares=shares, routers=lambda: 4, clock=lambda: now
+        limits=LIMITS, totals=shares, routers=lambda: 4, clock=lambda: now
     )
 
     def hear(routers: int) -> None:
@@ -101,7 +101,7 @@
         self.shares.append(shares)
         return RetryBudget(
             limits=LIMITS,
-            shares=shares,
+            totals=shares,
             routers=lambda: ROUTERS,
             clock=lambda: self.now,
         )
