--- a/dotterelpaddle/tests/forwarding/crash_callers.py
+++ b/dotterelpaddle/tests/forwarding/crash_callers.py
@@ -17,7 +17,7 @@
 if TYPE_CHECKING:
     from collections.abc import Mapping
 
-PATIENCE = 5.0
+CALL_TIMEOUT_SECONDS = 5.0
 """Seconds that callers wait."""
 
 
@@ -99,7 +99,7 @@
             heard.append(dict(message))
 
         try:
-            with anyio.move_on_after(PATIENCE):
+            with anyio.move_on_after(CALL_TIMEOUT_SECONDS):
                 await host.parts.app(self._scope(path, request_id), _receive, _send)
         except Exception:  # The server cuts the connection of an answer that broke.
             return Answer(status=0, whole=False, retry_after=None)
@@ -109,7 +109,7 @@
         headers = {
             b"host": HOST.encode(),
             Header.REQUEST_ID: request_id,
-            Header.TIME_LEFT_MS: b"%d" % (PATIENCE * 1000),
+            Header.TIME_LEFT_MS: b"%d" % (CALL_TIMEOUT_SECONDS * 1000),
             Header.KEY: KEY.encode(),
         }
         return {
@@ -127,9 +127,11 @@
         while anyio.current_time() < until:
             await anyio.sleep(self._dice.expovariate(rate))
             path = self._dice.choices(paths, (5, 3, 2))[0]
-            self._world.tasks.start_soon(self._other, f"{path}{next(self._numbers)}")
+            self._world.tasks.start_soon(
+                self._send_one_other, f"{path}{next(self._numbers)}"
+            )
 
-    async def _other(self, path: str) -> None:
+    async def _send_one_other(self, path: str) -> None:
         """Send a request, and once more if it may be repeated and has failed."""
         self.others.sent += 1
         for _ in range(2):
@@ -141,7 +143,7 @@
             self.others.refused += refused
             if path.startswith("/stream/x") and not refused:
                 return
-            await anyio.sleep(min(answer.retry_after or 0.0, PATIENCE / 3))
+            await anyio.sleep(min(answer.retry_after or 0.0, CALL_TIMEOUT_SECONDS / 3))
 
     async def send_culprit(
         self, *, pause: float, seconds: float, path: str = "/stream/again/"
@@ -149,10 +151,10 @@
         """Send a culprit again and again, whatever became of it before."""
         until = anyio.current_time() + seconds
         while anyio.current_time() < until:
-            self._world.tasks.start_soon(self._culprit, path + CULPRIT)
+            self._world.tasks.start_soon(self._send_one_culprit, path + CULPRIT)
             await anyio.sleep(pause)
 
-    async def _culprit(self, path: str) -> None:
+    async def _send_one_culprit(self, path: str) -> None:
         answer = await self.call(path, body=b"culprit")
         self.statuses[answer.status] += 1
 
--- a/dotterelpaddle/tests/forwarding/test_crash_incident.py
+++ b/dotterelpaddle/tests/forwarding/test_crash_incident.py
@@ -19,7 +19,7 @@
 import anyio
 import pytest
 
-from dotterelpaddle.tests.forwarding.crash_callers import PATIENCE, Callers
+from dotterelpaddle.tests.forwarding.crash_callers import CALL_TIMEOUT_SECONDS, Callers
 from dotterelpaddle.tests.forwarding.crash_world import (
     KNOW_TIME,
     STABLE_TIME,
@@ -50,7 +50,7 @@
         partial(callers.send_culprit, pause=pause, seconds=SECONDS, path=path)
     )
     await callers.send_others(rate=RATE, seconds=SECONDS)
-    await anyio.sleep(PATIENCE)
+    await anyio.sleep(CALL_TIMEOUT_SECONDS)
 
 
 def _play(script, **fields) -> tuple[CrashWorld, Callers]:
@@ -125,7 +125,7 @@
     async def _crashes(world: CrashWorld, callers: Callers) -> None:
         world.tasks.start_soon(_crash_in_series, world)
         await callers.send_others(rate=RATE, seconds=20.0)
-        await anyio.sleep(PATIENCE)
+        await anyio.sleep(CALL_TIMEOUT_SECONDS)
 
     world, _ = _play(_crashes, seed=seed, engines=9, routers=3)
 
@@ -136,7 +136,7 @@
 def test_nobody_is_refused_while_no_request_crashes_endpoints() -> None:
     async def _calm(world: CrashWorld, callers: Callers) -> None:
         await callers.send_others(rate=RATE, seconds=10.0)
-        await anyio.sleep(PATIENCE)
+        await anyio.sleep(CALL_TIMEOUT_SECONDS)
 
     _, callers = _play(_calm)
 
--- a/dotterelpaddle/tests/forwarding/test_crash_soak.py
+++ b/dotterelpaddle/tests/forwarding/test_crash_soak.py
@@ -14,7 +14,7 @@
 import anyio
 import pytest
 
-from dotterelpaddle.tests.forwarding.crash_callers import PATIENCE, Callers
+from dotterelpaddle.tests.forwarding.crash_callers import CALL_TIMEOUT_SECONDS, Callers
 from dotterelpaddle.tests.forwarding.crash_world import (
     STABLE_TIME,
     CrashWorld,
@@ -69,7 +69,7 @@
     for trouble in dice.sample((_crashes, _stops, _cuts), dice.choice((1, 2, 3))):
         world.tasks.start_soon(trouble, world, random.Random(dice.random()))
     await callers.send_others(rate=RATE, seconds=SECONDS)
-    await anyio.sleep(PATIENCE)
+    await anyio.sleep(CALL_TIMEOUT_SECONDS)
 
 
 async def _crashes(world: CrashWorld, dice: random.Random) -> None:
