--- a/dotterelpaddle/tests/forwarding/crash_world.py
+++ b/dotterelpaddle/tests/forwarding/crash_world.py
@@ -50,27 +50,27 @@
 CULPRIT = "culprit"
 """How the path of a request ends under which endpoints end."""
 
-SLOTS = 8
-EVENTS, EVENT_TIME = 5, 0.1
+SLOT_COUNT = 8
+EVENT_COUNT, EVENT_INTERVAL_SECONDS = 5, 0.1
 """Events of a stream, and seconds between two of them."""
 
-BEGIN_TIME = 0.06
+CRASH_DELAY_SECONDS = 0.06
 """Seconds from the begin of a run until its endpoint has ended under it."""
 
-DOWN_TIME = (2.8, 5.0)
+DOWN_SECONDS = (2.8, 5.0)
 """Seconds until an endpoint that has ended has started again, at least and at most."""
 
-GONE_NEWS_TIME = 3.6
+REMOVAL_DELAY_SECONDS = 3.6
 """Seconds until routers hear that the entry of an endpoint that ended is gone."""
 
-START_NEWS_TIME = (0.1, 0.9)
+START_DELAY_SECONDS = (0.1, 0.9)
 """Seconds until routers hear of a start."""
 
-STABLE_TIME = 3.0
+MIN_STABLE_SECONDS = 3.0
 """Seconds without trouble after which a router must know what the others do."""
 
-PACKET_TIME = 0.001
-KNOW_TIME = 2.0
+PACKET_DELAY_SECONDS = 0.001
+DISCOVERY_SECONDS = 2.0
 """Seconds until all routers know each other after a start of the fleet."""
 
 
@@ -95,10 +95,10 @@
     """An endpoint that works on some requests at a time, and ends under the culprit."""
 
     def __init__(self, *, name: str, address: Address, world: CrashWorld) -> None:
-        super().__init__(name=name, events=EVENTS, pause=EVENT_TIME)
+        super().__init__(name=name, events=EVENT_COUNT, pause=EVENT_INTERVAL_SECONDS)
         self.address = address
         self._world = world
-        self._slots = anyio.Semaphore(SLOTS)
+        self._slots = anyio.Semaphore(SLOT_COUNT)
 
     async def _answer(
         self, stream: Any, request: Received, behaviour: Behaviour
@@ -108,7 +108,7 @@
             return True
         culprit = request.target.endswith(CULPRIT.encode())
         if culprit:
-            self._world.note_arrival(engine=self, request=request)
+            self._world.record_arrival(engine=self, request=request)
         async with self._slots:
             if not culprit:
                 return await super()._answer(stream, request, behaviour or Serve())
@@ -116,7 +116,7 @@
             if request.target.startswith(STREAM_PATH):
                 head = self._head(request, framing=b"transfer-encoding: chunked")
                 await stream.send(head)
-            await anyio.sleep(BEGIN_TIME)
+            await anyio.sleep(CRASH_DELAY_SECONDS)
             self._world.end_engine(engine=self, under=request.target.decode())
         return False
 
@@ -162,7 +162,7 @@
         """Endpoints that run."""
         return list(self._live.values())
 
-    def later_than(self, *, seconds: float) -> int:
+    def culprits_later_than(self, *, seconds: float) -> int:
         """Count sends of a culprit some seconds after the third end under it.
 
         The greatest count, if there are several culprits.
@@ -183,7 +183,7 @@
 
     # Endpoints.
 
-    def note_arrival(self, *, engine: Engine, request: Received) -> None:
+    def record_arrival(self, *, engine: Engine, request: Received) -> None:
         """Note that a culprit has reached an endpoint."""
         self.arrivals.append(
             Arrival(
@@ -201,10 +201,10 @@
         self._live[name] = engine
         self.network.listen(address=address, handler=engine.handle)
         self._entries[name] = engine.entry(
-            address=address, service=SERVICE, zone=domain, slots=SLOTS
+            address=address, service=SERVICE, zone=domain, slots=SLOT_COUNT
         )
         self._revision += 1
-        self._announce(names=(name,), within=START_NEWS_TIME)
+        self._update_all(names=(name,), within=START_DELAY_SECONDS)
         return engine
 
     def end_engine(self, *, engine: Engine, under: str = "") -> None:
@@ -218,16 +218,16 @@
 
     async def _start_again(self, engine: Engine) -> None:
         domain = FailureDomain(self._entries[engine.name]["zone"])
-        down = self.dice.uniform(*DOWN_TIME)
-        await anyio.sleep(min(down, GONE_NEWS_TIME))
-        if down < GONE_NEWS_TIME:
+        down = self.dice.uniform(*DOWN_SECONDS)
+        await anyio.sleep(min(down, REMOVAL_DELAY_SECONDS))
+        if down < REMOVAL_DELAY_SECONDS:
             self.start_engine(address=engine.address, domain=domain)
-            await anyio.sleep(GONE_NEWS_TIME - down)
+            await anyio.sleep(REMOVAL_DELAY_SECONDS - down)
         del self._entries[engine.name]
         self._revision += 1
-        self._announce(removed=(engine.name,), within=START_NEWS_TIME)
-        if down >= GONE_NEWS_TIME:
-            await anyio.sleep(down - GONE_NEWS_TIME)
+        self._update_all(removed=(engine.name,), within=START_DELAY_SECONDS)
+        if down >= REMOVAL_DELAY_SECONDS:
+            await anyio.sleep(down - REMOVAL_DELAY_SECONDS)
             self.start_engine(address=engine.address, domain=domain)
 
     # Routers.
@@ -250,7 +250,7 @@
             clock=anyio.current_time,
             protocols=PlatformCodec(),
         )
-        datagrams: Any = HostDatagrams(router=host, send=self._fly)
+        datagrams: Any = HostDatagrams(router=host, send=self._send_datagram)
         host.parts, host.datagrams = parts, datagrams
         self._started_at[host.name] = anyio.current_time()
         async with anyio.create_task_group() as tasks:
@@ -258,7 +258,7 @@
             tasks.start_soon(parts.owners.run, datagrams)
             tasks.start_soon(parts.reachability.run)
             tasks.start_soon(parts.termination_prober.run)
-            self._tell(parts, names=tuple(self._entries), whole=True)
+            self._update(parts, names=tuple(self._entries), whole=True)
             parts.state.caches.mark_populated()
             await host.stopping.wait()
             parts.start_draining()
@@ -266,13 +266,13 @@
                 await anyio.sleep(0.01)
             tasks.cancel_scope.cancel()
 
-    def _fly(self, datagram: bytes, sender: Router, target: Address) -> None:
+    def _send_datagram(self, datagram: bytes, sender: Router, target: Address) -> None:
         host = self._by_address.get(target)
         if host is not None:
             self.tasks.start_soon(self._deliver, datagram, sender, host)
 
     async def _deliver(self, datagram: bytes, sender: Router, target: Router) -> None:
-        await anyio.sleep(PACKET_TIME)
+        await anyio.sleep(PACKET_DELAY_SECONDS)
         if target.datagrams is not None and self.reaches(sender, target):
             await target.datagrams.arrive(datagram=datagram, sender=sender.address)
 
@@ -281,7 +281,7 @@
         now = anyio.current_time()
         calm_since = max(self._started_at.get(host.name, now), self._cut_changed_at)
         stopping = now >= host.stopping_since
-        return now - calm_since >= STABLE_TIME and not stopping
+        return now - calm_since >= MIN_STABLE_SECONDS and not stopping
 
     def cut(self, *, hosts: frozenset[Router]) -> None:
         """Cut some routers off from the others; heal the cut if there are none."""
@@ -292,7 +292,7 @@
         """Tell whether packets pass between two routers."""
         return (sender in self.cut_off) == (target in self.cut_off)
 
-    def _announce(
+    def _update_all(
         self,
         *,
         names: tuple[str, ...] = (),
@@ -301,10 +301,10 @@
     ) -> None:
         for host in self.hosts:
             self.tasks.start_soon(
-                self._tell_late, host, names, removed, self.dice.uniform(*within)
+                self._update_late, host, names, removed, self.dice.uniform(*within)
             )
 
-    async def _tell_late(
+    async def _update_late(
         self,
         host: Router,
         names: tuple[str, ...],
@@ -313,9 +313,9 @@
     ) -> None:
         await anyio.sleep(seconds)
         if host.parts is not None:
-            self._tell(host.parts, names=names, removed=removed)
+            self._update(host.parts, names=names, removed=removed)
 
-    def _tell(
+    def _update(
         self,
         parts: Components,
         *,
@@ -362,6 +362,6 @@
                     address=Address(host=f"10.1.0.{number}", port=80),
                     domain=DOMAINS[number % len(DOMAINS)],
                 )
-            await anyio.sleep(KNOW_TIME)
+            await anyio.sleep(DISCOVERY_SECONDS)
             await script(world)
             tasks.cancel_scope.cancel()
--- a/dotterelpaddle/tests/forwarding/test_crash_incident.py
+++ b/dotterelpaddle/tests/forwarding/test_crash_incident.py
@@ -21,10 +21,10 @@
 
 from dotterelpaddle.tests.forwarding.crash_callers import CALL_TIMEOUT_SECONDS, Callers
 from dotterelpaddle.tests.forwarding.crash_world import (
-    KNOW_TIME,
-    STABLE_TIME,
+    DISCOVERY_SECONDS,
+    MIN_STABLE_SECONDS,
     CrashWorld,
-    play,
+    run_world,
 )
 from dotterelpaddle.tests.virtual_time import run_in_virtual_time
 
@@ -40,7 +40,7 @@
 CUT_TIME = 8.0
 """Seconds for which some routers are cut off from the others."""
 
-CUT_ENDS = KNOW_TIME + CUT_TIME
+CUT_ENDS = DISCOVERY_SECONDS + CUT_TIME
 
 
 async def _comes_again(
@@ -58,7 +58,7 @@
     callers = Callers(world=world)
 
     async def main() -> None:
-        await play(world=world, script=partial(script, callers=callers))
+        await run_world(world=world, script=partial(script, callers=callers))
 
     run_in_virtual_time(main)
     return world, callers
@@ -71,7 +71,7 @@
     """Guards against one request that ends all endpoints of a service in turn."""
     world, _ = _play(partial(_comes_again, pause=pause), seed=seed)
 
-    assert world.later_than(seconds=STABLE_TIME) <= ALLOWED
+    assert world.culprits_later_than(seconds=MIN_STABLE_SECONDS) <= ALLOWED
 
 
 @pytest.mark.parametrize("path", ["/safe/", "/unsafe/", "/stream/"])
@@ -81,7 +81,7 @@
     """Guards against blame that only streams which may go on elsewhere can get."""
     world, _ = _play(partial(_comes_again, pause=0.5, path=path), seed=3)
 
-    assert world.later_than(seconds=STABLE_TIME) <= ALLOWED
+    assert world.culprits_later_than(seconds=MIN_STABLE_SECONDS) <= ALLOWED
 
 
 def test_large_fleet_learns_through_aggregators() -> None:
@@ -89,7 +89,7 @@
     script = partial(_comes_again, pause=0.25)
     world, _ = _play(script, seed=4, routers=30, engines=12)
 
-    assert world.later_than(seconds=STABLE_TIME) <= ALLOWED
+    assert world.culprits_later_than(seconds=MIN_STABLE_SECONDS) <= ALLOWED
 
 
 def test_routers_that_saw_the_ends_may_stop() -> None:
@@ -101,7 +101,7 @@
 
     world, _ = _play(_routers_stop, seed=5)
 
-    assert world.later_than(seconds=STABLE_TIME) <= ALLOWED
+    assert world.culprits_later_than(seconds=MIN_STABLE_SECONDS) <= ALLOWED
 
 
 def test_sides_of_a_cut_agree_after_it() -> None:
@@ -114,7 +114,7 @@
 
     world, _ = _play(_cut, seed=6)
 
-    late = [each for each in world.arrivals if each.at > CUT_ENDS + STABLE_TIME]
+    late = [each for each in world.arrivals if each.at > CUT_ENDS + MIN_STABLE_SECONDS]
     assert len(late) <= ALLOWED
 
 
--- a/dotterelpaddle/tests/forwarding/test_crash_soak.py
+++ b/dotterelpaddle/tests/forwarding/test_crash_soak.py
@@ -16,9 +16,9 @@
 
 from dotterelpaddle.tests.forwarding.crash_callers import CALL_TIMEOUT_SECONDS, Callers
 from dotterelpaddle.tests.forwarding.crash_world import (
-    STABLE_TIME,
+    MIN_STABLE_SECONDS,
     CrashWorld,
-    play,
+    run_world,
 )
 from dotterelpaddle.tests.virtual_time import run_in_virtual_time
 
@@ -41,7 +41,7 @@
     )
     callers = Callers(world=world)
     run_in_virtual_time(
-        partial(play, world=world, script=partial(_trouble, callers=callers))
+        partial(run_world, world=world, script=partial(_trouble, callers=callers))
     )
 
     for target, ends in world.ended.items():
@@ -50,7 +50,7 @@
                 each
                 for each in world.arrivals
                 if each.target == target
-                and each.at > ends[2] + STABLE_TIME
+                and each.at > ends[2] + MIN_STABLE_SECONDS
                 and each.request_id in callers.calm
             ]
             assert len(late) <= ALLOWED
