--- a/dotterelpaddle/forwarding/app.py
+++ b/dotterelpaddle/forwarding/app.py
@@ -76,7 +76,7 @@
         self._metrics = metrics
         self._clock = clock
         self._in_flight = 0
-        self._leaving = False
+        self._draining = False
 
     @property
     def in_flight(self) -> int:
@@ -86,14 +86,14 @@
     @property
     def ready(self) -> bool:
         """Whether the balancer should send callers here."""
-        return self._view.complete and not self._sends_away
+        return self._view.complete and not self._draining_or_isolated
 
     @property
-    def _sends_away(self) -> bool:
-        return self._leaving or self._isolation.isolated
+    def _draining_or_isolated(self) -> bool:
+        return self._draining or self._isolation.isolated
 
     @property
-    def _not_ready_for(self) -> float | None:
+    def _unready_seconds(self) -> float | None:
         """Seconds since the balancer might have begun to send callers elsewhere."""
         if not self._view.complete:
             return self._view.age
@@ -101,7 +101,7 @@
 
     def start_draining(self) -> None:
         """Report not ready and close connections after answers; still serve."""
-        self._leaving = True
+        self._draining = True
 
     async def __call__(
         self, scope: Mapping[str, Any], receive: Receive, send: Send
@@ -109,7 +109,7 @@
         """Serve one request as ASGI asks."""
         received_at = self._clock()
         reply = ForwardReply(
-            send=send, closing=lambda: self._sends_away, clock=self._clock
+            send=send, closing=lambda: self._draining_or_isolated, clock=self._clock
         )
         try:
             request = self._protocols.decode_request(scope=scope)
@@ -138,10 +138,10 @@
             exchange.body = await self._read_body(receive=receive)
             await self._run_pipeline(exchange=exchange, receive=receive)
         except RequestError as error:
-            await self._tell(exchange=exchange, error=error)
+            await self._send_error(exchange=exchange, error=error)
         except DotterelpaddleError as error:
             failure = RequestError(error.message, step=error.step, peer=error.peer)
-            await self._tell(exchange=exchange, error=failure)
+            await self._send_error(exchange=exchange, error=failure)
 
     async def _run_pipeline(
         self, *, exchange: ForwardExchange, receive: Receive
@@ -187,7 +187,9 @@
             if not message.get("more_body", False):
                 return b"".join(parts)
 
-    async def _tell(self, *, exchange: ForwardExchange, error: RequestError) -> None:
+    async def _send_error(
+        self, *, exchange: ForwardExchange, error: RequestError
+    ) -> None:
         """Tell the caller an error.
 
         Raises:
@@ -213,7 +215,7 @@
             wait = retry_after_seconds(
                 wait=error.retry_after,
                 time_left=self._time_left(exchange=exchange),
-                not_ready_for=self._not_ready_for,
+                not_ready_for=self._unready_seconds,
             )
             headers.append((b"retry-after", f"{wait:.3g}".encode()))
         return headers
