--- a/dotterelpaddle/forwarding/attempts.py
+++ b/dotterelpaddle/forwarding/attempts.py
@@ -124,7 +124,7 @@
                     failure.retry_after = error.retry_after
                 raise failure from None
             try:
-                return await self._once(
+                return await self._send_attempt(
                     exchange=exchange,
                     relay=relay,
                     choice=choice,
@@ -134,7 +134,7 @@
             except EndpointError as error:
                 failure = error
             tried.add(endpoint=choice.entry.endpoint, failure=failure)
-            if not self._may_follow(exchange=exchange, failure=failure):
+            if not self._claim_retry(exchange=exchange, failure=failure):
                 raise failure
 
     async def _choose(
@@ -160,7 +160,7 @@
             excluded=excluded | self._residency.forbidden_endpoints(exchange=exchange),
         )
 
-    async def _once(
+    async def _send_attempt(
         self,
         *,
         exchange: ForwardExchange,
@@ -197,7 +197,7 @@
                     )
                 )
         except EndpointError as error:
-            self._note_failure(
+            self._record_failure(
                 exchange=exchange, choice=choice, progress=progress, error=error
             )
             raise
@@ -250,14 +250,14 @@
                 route=route,
                 time_left=time_left,
                 connect_timeout=connect_time,
-                may_retry=self._may_repeat_later(exchange=exchange),
+                may_retry=self._may_retry_later(exchange=exchange),
                 missing_tokens=choice.missing_tokens,
             ),
             new_connection=fresh or not route.retryable,
             observe=progress.observe,
         )
 
-    def _may_repeat_later(self, *, exchange: ForwardExchange) -> bool:
+    def _may_retry_later(self, *, exchange: ForwardExchange) -> bool:
         """Tell whether the next attempt may be given up for one more."""
         route, service = exchange.route, exchange.service
         assert route is not None
@@ -268,7 +268,9 @@
             and self._repeats.has_room(service=service)
         )
 
-    def _may_follow(self, *, exchange: ForwardExchange, failure: EndpointError) -> bool:
+    def _claim_retry(
+        self, *, exchange: ForwardExchange, failure: EndpointError
+    ) -> bool:
         """Tell whether another attempt may follow, and count it if so."""
         route, service, attempts = exchange.route, exchange.service, exchange.attempts
         assert route is not None
@@ -310,7 +312,7 @@
             fetch_from=source.endpoint if source is not None else "",
         )
 
-    def _note_failure(
+    def _record_failure(
         self,
         *,
         exchange: ForwardExchange,
