--- a/dotterelpaddle/forwarding/client.py
+++ b/dotterelpaddle/forwarding/client.py
@@ -203,8 +203,8 @@
         try:
             sent_at = self._clock()
             connection.stream.read_timeout = call.patience.first_byte
-            connection.stream.read_extension = partial(self._more_time, call, sent_at)
-            response = await self._exchange(call=call, connection=connection)
+            connection.stream.read_extension = partial(self._extra_wait, call, sent_at)
+            response = await self._send_request(call=call, connection=connection)
             connection.stream.read_extension = None
             self._signs.record_answer_start(
                 endpoint=call.entry.endpoint, sent_at=sent_at
@@ -232,7 +232,7 @@
                     await response.aclose()
                 await _release(pool=pool, connection=connection)
 
-    def _more_time(self, call: ForwardCall, sent_at: float) -> float:
+    def _extra_wait(self, call: ForwardCall, sent_at: float) -> float:
         """Seconds that a request whose time is up waits on, 0 to give it up."""
         if not self._signs.is_slow(endpoint=call.entry.endpoint, sent_at=sent_at):
             return 0.0
@@ -266,7 +266,7 @@
             )
         return pool
 
-    async def _exchange(
+    async def _send_request(
         self, *, call: ForwardCall, connection: Connection
     ) -> httpcore.Response:
         endpoint = call.entry.endpoint
