--- a/dotterelpaddle/forwarding/crash_guard.py
+++ b/dotterelpaddle/forwarding/crash_guard.py
@@ -101,7 +101,7 @@
                 self._endings.report_broken_connection(
                     entry=entry,
                     fingerprint=fingerprint,
-                    begun=progress.attempt.state is not AttemptState.SENT
+                    answer_begun=progress.attempt.state is not AttemptState.SENT
                     and not output,
                 )
             raise
--- a/dotterelpaddle/forwarding/endings.py
+++ b/dotterelpaddle/forwarding/endings.py
@@ -37,7 +37,7 @@
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
-class _Broken:
+class _BrokenRequest:
     """A request whose connection broke.
 
     Attributes:
@@ -76,12 +76,12 @@
         self._crashes = crashes
         self._leaving = leaving
         self._clock = clock
-        self._waiting: dict[EndpointId, list[_Broken]] = {}
-        self._new: list[EndpointEntry] = []
-        self._news = anyio.Event()
+        self._pending: dict[EndpointId, list[_BrokenRequest]] = {}
+        self._unprobed: list[EndpointEntry] = []
+        self._unprobed_event = anyio.Event()
 
     def report_broken_connection(
-        self, *, entry: EndpointEntry, fingerprint: Fingerprint, begun: bool
+        self, *, entry: EndpointEntry, fingerprint: Fingerprint, answer_begun: bool
     ) -> None:
         """Note a request whose connection broke after it had been sent.
 
@@ -89,28 +89,28 @@
         """
         if entry.state is EndpointState.DRAINING or entry.endpoint in self._leaving:
             return
-        broken = _Broken(
-            fingerprint=fingerprint, broken_at=self._clock(), answer_begun=begun
+        broken = _BrokenRequest(
+            fingerprint=fingerprint, broken_at=self._clock(), answer_begun=answer_begun
         )
-        waiting = self._waiting.setdefault(entry.endpoint, [])
+        waiting = self._pending.setdefault(entry.endpoint, [])
         if not waiting:
-            self._new.append(entry)
-            self._news.set()
+            self._unprobed.append(entry)
+            self._unprobed_event.set()
         waiting.append(broken)
 
     async def run(self) -> None:
         """Look at endpoints that broke off until cancelled."""
         async with anyio.create_task_group() as tasks:
             while True:
-                await self._news.wait()
-                self._news = anyio.Event()
-                new, self._new = self._new, []
+                await self._unprobed_event.wait()
+                self._unprobed_event = anyio.Event()
+                new, self._unprobed = self._unprobed, []
                 for entry in new:
-                    tasks.start_soon(self._look, entry)
+                    tasks.start_soon(self._probe, entry)
 
-    async def _look(self, entry: EndpointEntry) -> None:
-        ended = await self._has_ended(entry=entry)
-        broken = self._waiting.pop(entry.endpoint)
+    async def _probe(self, entry: EndpointEntry) -> None:
+        ended = await self._has_terminated(entry=entry)
+        broken = self._pending.pop(entry.endpoint)
         log.info(
             "endpoint_looked_at",
             endpoint=entry.endpoint,
@@ -132,7 +132,7 @@
                     fingerprint=each.fingerprint, endpoint=entry.endpoint
                 )
 
-    async def _has_ended(self, *, entry: EndpointEntry) -> bool:
+    async def _has_terminated(self, *, entry: EndpointEntry) -> bool:
         for _ in range(MAX_PROBES):
             tried = await probe_connection(
                 backend=self._backend,
--- a/dotterelpaddle/tests/forwarding/test_endings.py
+++ b/dotterelpaddle/tests/forwarding/test_endings.py
@@ -60,7 +60,7 @@
             self.endings.report_broken_connection(
                 entry=make_entry(f"engine-{number}", address=address, **fields),
                 fingerprint=CULPRIT,
-                begun=True,
+                answer_begun=True,
             )
 
     @property
@@ -97,7 +97,7 @@
         port = listener.extra(SocketAttribute.local_port)
         async with _looking() as looked:
             looked.broke_off(address=Address(host="127.0.0.1", port=port))
-            await until(lambda: not looked.endings._waiting)
+            await until(lambda: not looked.endings._pending)
 
     assert looked.crashes.suspect_count == 0
 
@@ -106,7 +106,7 @@
     async with _looking() as looked:
         looked.broke_off(address=CLOSED, state=EndpointState.DRAINING)
 
-        assert not looked.endings._waiting
+        assert not looked.endings._pending
 
 
 async def test_end_of_an_endpoint_whose_answer_said_it_leaves_says_nothing() -> None:
@@ -115,4 +115,4 @@
             looked.leaving.record(endpoint=EndpointId(f"engine-{number}"))
         looked.broke_off(address=CLOSED)
 
-        assert not looked.endings._waiting
+        assert not looked.endings._pending
