--- a/dotterelpaddle/forwarding/filters.py
+++ b/dotterelpaddle/forwarding/filters.py
@@ -61,7 +61,9 @@
         self._view = view
         self._generator = generator
 
-    async def __call__(self, exchange: ForwardExchange, rest: NextFilter) -> None:
+    async def __call__(
+        self, exchange: ForwardExchange, next_filter: NextFilter
+    ) -> None:
         """Set route, service, account and fingerprint, and go on.
 
         Raises:
@@ -92,7 +94,7 @@
             request=request, account=exchange.account, body=exchange.body
         )
         exchange.service = self._service(route=route)
-        await rest(exchange)
+        await next_filter(exchange)
 
     def _service(self, *, route: ForwardRoute) -> ServiceName:
         if len(route.services) == 1:
@@ -111,7 +113,9 @@
     def __init__(self, *, clock: Clock) -> None:
         self._clock = clock
 
-    async def __call__(self, exchange: ForwardExchange, rest: NextFilter) -> None:
+    async def __call__(
+        self, exchange: ForwardExchange, next_filter: NextFilter
+    ) -> None:
         """Set the deadline and go on until then.
 
         Raises:
@@ -124,7 +128,7 @@
             timeout = min(timeout, exchange.request.time_left)
         exchange.deadline = exchange.received_at + timeout
         with anyio.move_on_after(exchange.deadline - self._clock()) as scope:
-            await rest(exchange)
+            await next_filter(exchange)
         if scope.cancelled_caught:
             raise DeadlineExceeded(f"no answer within {timeout:g} s", step=Step.ENTRY)
 
@@ -145,7 +149,9 @@
         self._client = client
         self._repeats = repeats
 
-    async def __call__(self, exchange: ForwardExchange, rest: NextFilter) -> None:
+    async def __call__(
+        self, exchange: ForwardExchange, next_filter: NextFilter
+    ) -> None:
         """Serve the request.
 
         Raises:
