--- a/dotterelpaddle/forwarding/progress.py
+++ b/dotterelpaddle/forwarding/progress.py
@@ -25,18 +25,18 @@
     """The endpoints that a request was meant for so far."""
 
     def __init__(self) -> None:
-        self._asked: set[EndpointId] = set()
-        self._unconnected: set[EndpointId] = set()
+        self._attempted: set[EndpointId] = set()
+        self._connect_timeouts: set[EndpointId] = set()
 
     @property
     def attempted(self) -> frozenset[EndpointId]:
         """Those that got it or said no."""
-        return frozenset(self._asked)
+        return frozenset(self._attempted)
 
     @property
     def connect_timeouts(self) -> frozenset[EndpointId]:
         """Those whose connection did not stand in time, asked once each."""
-        return frozenset(self._unconnected)
+        return frozenset(self._connect_timeouts)
 
     @property
     def excluded(self) -> frozenset[EndpointId]:
@@ -49,18 +49,18 @@
             case IdleConnectionLost():
                 pass
             case EndpointUnreachable(timed_out=True) if (
-                endpoint not in self._unconnected
+                endpoint not in self._connect_timeouts
             ):
-                self._unconnected.add(endpoint)
+                self._connect_timeouts.add(endpoint)
             case _:
-                self._asked.add(endpoint)
-                self._unconnected.discard(endpoint)
+                self._attempted.add(endpoint)
+                self._connect_timeouts.discard(endpoint)
 
     def connect_timeout(self, *, endpoint: EndpointId) -> float:
         """Seconds until a connection to an endpoint must stand."""
         return (
             LAST_CONNECT_TIMEOUT_SECONDS
-            if endpoint in self._unconnected
+            if endpoint in self._connect_timeouts
             else CONNECT_TIMEOUT_SECONDS
         )
 
