--- a/dotterelpaddle/forwarding/relays.py
+++ b/dotterelpaddle/forwarding/relays.py
@@ -88,12 +88,12 @@
     def __init__(self, *, exchange: ForwardExchange, client: ForwardClient) -> None:
         self._exchange = exchange
         self._client = client
-        self._last_event = exchange.request.last_event_id
+        self._last_event_id = exchange.request.last_event_id
 
     @property
     def last_event_id(self) -> str:
         """Id of the last event that the caller has, empty for none."""
-        return self._last_event
+        return self._last_event_id
 
     async def send(self, *, call: ForwardCall) -> AttemptResult:
         """Send one attempt."""
@@ -117,7 +117,7 @@
                     status=answer.head.status, headers=answer.head.headers
                 )
             await reply.write(chunk=END_OF_EVENT.join([*events, b""]))
-            self._note(events=events)
+            self._record_last_event_id(events=events)
         if buffer.rest:
             raise AnswerBroken(
                 "the stream ended in the middle of an event", peer=call.entry.endpoint
@@ -127,11 +127,11 @@
                 "the stream ended without an event", peer=call.entry.endpoint
             )
 
-    def _note(self, *, events: list[bytes]) -> None:
+    def _record_last_event_id(self, *, events: list[bytes]) -> None:
         for event in reversed(events):
             event_id = parse_event_id(event=event)
             if event_id:
-                self._last_event = event_id
+                self._last_event_id = event_id
                 return
 
 
