--- a/dotterelpaddle/forwarding/app.py
+++ b/dotterelpaddle/forwarding/app.py
@@ -109,7 +109,9 @@
         """Serve one request as ASGI asks."""
         received_at = self._clock()
         reply = ForwardReply(
-            send=send, closing=lambda: self._draining_or_isolated, clock=self._clock
+            send=send,
+            should_close=lambda: self._draining_or_isolated,
+            clock=self._clock,
         )
         try:
             request = self._protocols.decode_request(scope=scope)
--- a/dotterelpaddle/forwarding/reply.py
+++ b/dotterelpaddle/forwarding/reply.py
@@ -18,17 +18,17 @@
 
     Args:
         send: The ASGI server's function.
-        closing: Tells whether the caller should open a new connection next time.
+        should_close: Tells whether the caller should open a new connection next time.
         clock: Monotonic clock.
     """
 
     def __init__(
-        self, *, send: Send, closing: Callable[[], bool], clock: Clock
+        self, *, send: Send, should_close: Callable[[], bool], clock: Clock
     ) -> None:
         self._send = send
-        self._closing = closing
+        self._should_close = should_close
         self._clock = clock
-        self._begun_at: float | None = None
+        self._started_at: float | None = None
         self._written_at = 0.0
         self._longest_pause = 0.0
         self._finished = False
@@ -52,7 +52,7 @@
     @property
     def started_at(self) -> float | None:
         """When its first bytes were sent, None before."""
-        return self._begun_at
+        return self._started_at
 
     @property
     def longest_pause(self) -> float:
@@ -71,8 +71,8 @@
     async def start(self, *, status: int, headers: Headers) -> None:
         """Send the status line and headers."""
         self._status = status
-        self._begun_at = self._written_at = self._clock()
-        if self._closing():
+        self._started_at = self._written_at = self._clock()
+        if self._should_close():
             headers = [*headers, (b"connection", b"close")]
         await self._send(
             {"type": "http.response.start", "status": status, "headers": headers}
