--- a/dotterelpaddle/forwarding/router.py
+++ b/dotterelpaddle/forwarding/router.py
@@ -83,7 +83,7 @@
         tasks.start_soon(parts.reachability.run)
         tasks.start_soon(parts.termination_prober.run)
         tasks.start_soon(parts.isolation.run)
-        tasks.start_soon(_keep_house, parts)
+        tasks.start_soon(_run_housekeeping, parts)
         control = await stack.enter_async_context(
             serve(
                 app=ControlApp(
