--- a/dotterelpaddle/forwarding/follower.py
+++ b/dotterelpaddle/forwarding/follower.py
@@ -160,13 +160,13 @@
                 after = await read(after)
                 pause = MIN_RETRY_DELAY_SECONDS
                 if after is not None:
-                    self._metrics.count_platform_call(what=what, result="ok")
+                    self._metrics.count_platform_call(call=what, result="ok")
             except HistoryLost as error:
-                self._metrics.count_platform_call(what=what, result="history lost")
+                self._metrics.count_platform_call(call=what, result="history lost")
                 log.warning("history_lost", what=what, after=after, cause=str(error))
                 after = None
             except PlatformError as error:
-                self._metrics.count_platform_call(what=what, result="failed")
+                self._metrics.count_platform_call(call=what, result="failed")
                 self._note_failure(what=what, error=error)
                 await anyio.sleep(pause * self._generator.uniform(0.7, 1.3))
                 pause = min(2 * pause, MAX_RETRY_DELAY_SECONDS)
--- a/dotterelpaddle/forwarding/metrics.py
+++ b/dotterelpaddle/forwarding/metrics.py
@@ -99,9 +99,9 @@
         """Count a request that was not sent as endpoints end under it."""
         self._blocked.inc({"service": service})
 
-    def count_platform_call(self, *, what: str, result: str) -> None:
+    def count_platform_call(self, *, call: str, result: str) -> None:
         """Count a call to the platform."""
-        self._calls.inc({"what": what, "result": result})
+        self._calls.inc({"what": call, "result": result})
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
@@ -130,12 +130,12 @@
 
     Args:
         metrics: What was counted.
-        observed: Whose state is told.
+        sources: Whose state is told.
     """
 
-    def __init__(self, *, metrics: ForwardMetrics, observed: MetricsSources) -> None:
+    def __init__(self, *, metrics: ForwardMetrics, sources: MetricsSources) -> None:
         self._registry = metrics.registry
-        self._observed = observed
+        self._sources = sources
         gauge = self._registry.gauge
         self._version = gauge(
             name="configuration_version", doc="Version of the configuration in force."
@@ -162,7 +162,7 @@
 
     def render(self) -> bytes:
         """Return the page."""
-        observed = self._observed
+        observed = self._sources
         self._version.set({}, observed.view.version)
         ages = {
             "configuration": observed.follower.configuration_age,
@@ -178,7 +178,7 @@
         return self._registry.render()
 
     def _set_endpoints(self) -> None:
-        observed = self._observed
+        observed = self._sources
         # Endpoints come and go; what is told is only of those that are there.
         self._in_flight.values.clear()
         self._endpoints.values.clear()
--- a/dotterelpaddle/forwarding/parts.py
+++ b/dotterelpaddle/forwarding/parts.py
@@ -305,7 +305,7 @@
         owners=owners,
         metrics=MetricsPage(
             metrics=metrics,
-            observed=MetricsSources(
+            sources=MetricsSources(
                 view=knowledge.view,
                 loads=knowledge.loads,
                 repeats=knowledge.retry_budget,
