--- a/dotterelpaddle/platform/decoding.py
+++ b/dotterelpaddle/platform/decoding.py
@@ -31,20 +31,24 @@
     return value
 
 
-def required_field(row: Mapping[str, Any], name: str, kind: type[T], path: str) -> T:
+def required_field(
+    row: Mapping[str, Any], name: str, expected_type: type[T], path: str
+) -> T:
     """Return a field that must be there.
 
     Args:
         row: The object that holds it.
         name: Its name.
-        kind: Its type.
+        expected_type: Its type.
         path: Where the object stands, for the error.
 
     Raises:
         RecordError: If it is missing or of another type.
     """
     value = row.get(name)
-    if isinstance(value, kind) and not (kind is int and isinstance(value, bool)):
+    if isinstance(value, expected_type) and not (
+        expected_type is int and isinstance(value, bool)
+    ):
         return value
     raise RecordError(
         f"field '{path}{name}' must be {_name_of(kind)}, not {value!r}",
@@ -53,7 +57,7 @@
 
 
 def optional_field(
-    row: Mapping[str, Any], name: str, kind: type[T], path: str, default: T
+    row: Mapping[str, Any], name: str, expected_type: type[T], path: str, default: T
 ) -> T:
     """Return a field, or a default where it is missing.
 
@@ -62,7 +66,7 @@
     """
     if row.get(name) is None:
         return default
-    return required_field(row, name, kind, path)
+    return required_field(row, name, expected_type, path)
 
 
 def seconds_field(row: Mapping[str, Any], name: str, path: str) -> float:
@@ -97,6 +101,6 @@
     )
 
 
-def _name_of(kind: type) -> str:
+def _type_description(kind: type) -> str:
     names = {str: "a text", int: "a whole number", bool: "true or false"}
     return names.get(kind, f"a {kind.__name__}")
