--- a/dotterelpaddle/platform/operator_rows.py
+++ b/dotterelpaddle/platform/operator_rows.py
@@ -34,14 +34,14 @@
         self._documents = documents
 
     def decode(
-        self, *, rows: Sequence[Row], revision: Revision, whole: bool
+        self, *, rows: Sequence[Row], revision: Revision, is_snapshot: bool
     ) -> OperatorUpdate:
         """Decode rows; those that can't be used are logged and change nothing.
 
         Args:
             rows: All rows, or those that changed, in the order of their changes.
             revision: Position in the order of changes up to which they are told.
-            whole: Whether rows that are not here do not exist.
+            is_snapshot: Whether rows that are not here do not exist.
         """
         evacuations: list[EvacuationChange] = []
         unclear: set[FailureDomain] = set()
@@ -58,7 +58,7 @@
             configuration=self._configuration(rows),
             evacuations=tuple(evacuations),
             undecodable=frozenset(unclear),
-            is_snapshot=whole,
+            is_snapshot=is_snapshot,
         )
 
     def _configuration(self, rows: Sequence[Row]) -> FleetConfiguration | None:
--- a/dotterelpaddle/platform/store.py
+++ b/dotterelpaddle/platform/store.py
@@ -67,7 +67,9 @@
     async def configuration(self) -> OperatorUpdate:
         """Read the configuration."""
         rows, revision = await self._read_all(table=Table.OPERATOR)
-        return self._operator_rows.decode(rows=rows, revision=revision, whole=True)
+        return self._operator_rows.decode(
+            rows=rows, revision=revision, is_snapshot=True
+        )
 
     async def configuration_after(
         self, *, after: Revision, wait: float
@@ -75,7 +77,7 @@
         """Wait for a change of the configuration, some seconds at most."""
         answer = await self._watch(table=Table.OPERATOR, after=after, wait=wait)
         return self._operator_rows.decode(
-            rows=answer["rows"], revision=_revision(answer), whole=False
+            rows=answer["rows"], revision=_revision(answer), is_snapshot=False
         )
 
     async def endpoints(self) -> EndpointsUpdate:
