--- a/dotterelpaddle/tests/daemon/test_process.py
+++ b/dotterelpaddle/tests/daemon/test_process.py
@@ -19,7 +19,7 @@
 from dotterelpaddle.standins.runner import RunnerStandin, run_runner
 from dotterelpaddle.standins.store import StoreStandin, run_store
 from dotterelpaddle.tests.forwarding.harness import (
-    ANYWHERE,
+    ANY_LOCAL_ADDRESS,
     HOST,
     KEY,
     SERVICE,
@@ -41,7 +41,7 @@
 
 
 def _free_address() -> Address:
-    listener = bind(address=ANYWHERE)
+    listener = bind(address=ANY_LOCAL_ADDRESS)
     address = address_of(listener=listener)
     listener.close()
     return address
--- a/dotterelpaddle/tests/forwarding/harness.py
+++ b/dotterelpaddle/tests/forwarding/harness.py
@@ -29,15 +29,15 @@
 if TYPE_CHECKING:
     from collections.abc import AsyncIterator, Mapping
 
-ANYWHERE = Address(host="127.0.0.1", port=0)
+ANY_LOCAL_ADDRESS = Address(host="127.0.0.1", port=0)
 SERVICE = "records"
 KEY = "key-1"
 ACCOUNT = "acme"
 HOST = "a.example"
-LIMIT = 10.0
+WAIT_TIMEOUT_SECONDS = 10.0
 """Seconds after which a wait of a test fails."""
 
-REPEATS = RetryLimits(share=0.2, allowance=50.0, window=10.0)
+RETRY_LIMITS = RetryLimits(share=0.2, allowance=50.0, window=10.0)
 
 Headers = dict[bytes, bytes]
 
@@ -133,15 +133,15 @@
             **{
                 "router": RouterId(f"router-{len(self.routers) + 1}"),
                 "failure_domain": FailureDomain("here"),
-                "callers": ANYWHERE,
-                "readiness": ANYWHERE,
-                "control": ANYWHERE,
-                "peers": ANYWHERE,
+                "callers": ANY_LOCAL_ADDRESS,
+                "readiness": ANY_LOCAL_ADDRESS,
+                "control": ANY_LOCAL_ADDRESS,
+                "peers": ANY_LOCAL_ADDRESS,
                 "seeds": tuple(router.peers for router in self.routers),
                 "store": self.store_address,
                 "shutdown": 2.0,
                 "leave_time": 0.0,
-                "repeats": REPEATS,
+                "repeats": RETRY_LIMITS,
                 **fields,
             }
         )
@@ -222,10 +222,10 @@
             await fleet.add_runner(f"runner-{number + 1}")
         for _ in range(routers):
             router = await fleet.add_router()
-            await until(lambda router=router: router.parts.app.ready)  # type: ignore[misc]
+            await wait_until(lambda router=router: router.parts.app.ready)  # type: ignore[misc]
         view = fleet.routers[0].parts.state.view if routers else None
         if view is not None:
-            await until(lambda: len(view.entries) == runners)
+            await wait_until(lambda: len(view.entries) == runners)
         yield fleet
 
 
@@ -235,6 +235,6 @@
     Raises:
         TimeoutError: If it does not within the limit.
     """
-    with anyio.fail_after(LIMIT):
+    with anyio.fail_after(WAIT_TIMEOUT_SECONDS):
         while not condition():
             await anyio.sleep(0.005)
--- a/dotterelpaddle/tests/forwarding/test_aggregation.py
+++ b/dotterelpaddle/tests/forwarding/test_aggregation.py
@@ -12,7 +12,7 @@
     Fleet,
     configuration,
     run_fleet,
-    until,
+    wait_until,
 )
 
 pytestmark = pytest.mark.anyio
@@ -36,7 +36,9 @@
         await fleet.add_router(link=link)
     member = await fleet.add_router(link=1, store=NO_STORE)
     knowledge = member.parts.state
-    await until(lambda: not knowledge.totals.is_aggregator and member.parts.app.ready)
+    await wait_until(
+        lambda: not knowledge.totals.is_aggregator and member.parts.app.ready
+    )
     return len(fleet.routers) - 1
 
 
@@ -46,11 +48,11 @@
         view = fleet.routers[member].parts.state.view
 
         fleet.store.configure(configuration=configuration(version=2))
-        await until(lambda: view.version == 2)
+        await wait_until(lambda: view.version == 2)
         await fleet.add_runner("runner-2")
-        await until(lambda: len(view.ready(service=ServiceName(SERVICE))) == 2)
+        await wait_until(lambda: len(view.ready(service=ServiceName(SERVICE))) == 2)
         fleet.register("runner-1", state="draining")
-        await until(lambda: len(view.ready(service=ServiceName(SERVICE))) == 1)
+        await wait_until(lambda: len(view.ready(service=ServiceName(SERVICE))) == 1)
         answer = await fleet.call("/safe/", router=member)
 
     assert answer.status == 200
@@ -66,7 +68,7 @@
             books[1].track(endpoint=endpoint),
             books[member].track(endpoint=endpoint),
         ):
-            await until(lambda: all(book.loads()[endpoint] == 3 for book in books))
+            await wait_until(lambda: all(book.loads()[endpoint] == 3 for book in books))
 
 
 async def test_member_goes_on_when_aggregators_have_ended() -> None:
@@ -76,7 +78,7 @@
         for router in fleet.routers[:member]:
             router.parts.exchange._plan.recipients = list  # type: ignore[method-assign]
 
-        await until(lambda: parts.state.totals.is_aggregator)
+        await wait_until(lambda: parts.state.totals.is_aggregator)
         answer = await fleet.call("/safe/", router=member)
 
     assert answer.status == 200
--- a/dotterelpaddle/tests/forwarding/test_endings.py
+++ b/dotterelpaddle/tests/forwarding/test_endings.py
@@ -21,7 +21,7 @@
 from dotterelpaddle.links import Links
 from dotterelpaddle.network import LinkedBackend
 from dotterelpaddle.tests.forwarding.entries import make_entry
-from dotterelpaddle.tests.forwarding.harness import until
+from dotterelpaddle.tests.forwarding.harness import wait_until
 
 if TYPE_CHECKING:
     from collections.abc import AsyncIterator
@@ -85,7 +85,7 @@
 async def test_endpoints_that_refuse_connections_have_ended() -> None:
     async with _looking() as looked:
         looked.broke_off(address=CLOSED)
-        await until(lambda: looked.is_blocked)
+        await wait_until(lambda: looked.is_blocked)
 
     entry = make_entry("engine-0", address=CLOSED)
     assert looked.reachability.reachable(entries=[entry]) == []
@@ -97,7 +97,7 @@
         port = listener.extra(SocketAttribute.local_port)
         async with _looking() as looked:
             looked.broke_off(address=Address(host="127.0.0.1", port=port))
-            await until(lambda: not looked.endings._pending)
+            await wait_until(lambda: not looked.endings._pending)
 
     assert looked.crashes.suspect_count == 0
 
--- a/dotterelpaddle/tests/forwarding/test_evacuation.py
+++ b/dotterelpaddle/tests/forwarding/test_evacuation.py
@@ -16,7 +16,7 @@
 from dotterelpaddle.address import Address
 from dotterelpaddle.forwarding.candidates import EVACUATED_RETRY_AFTER_SECONDS
 from dotterelpaddle.platform.names import Header, Table
-from dotterelpaddle.tests.forwarding.harness import run_fleet, until
+from dotterelpaddle.tests.forwarding.harness import run_fleet, wait_until
 
 if TYPE_CHECKING:
     from collections.abc import AsyncIterator
@@ -44,7 +44,7 @@
 
 async def _start_router(fleet: Fleet) -> None:
     router = await fleet.add_router()
-    await until(lambda: router.parts.app.ready)
+    await wait_until(lambda: router.parts.app.ready)
 
 
 def _evacuate(fleet: Fleet, domain: str) -> None:
@@ -86,10 +86,10 @@
     """Guards against work for an evacuated domain while the store turns one away."""
     async with _two_domains() as fleet:
         router = await fleet.add_router(store=NO_STORE)
-        await until(lambda: router.parts.app.ready)
+        await wait_until(lambda: router.parts.app.ready)
         view = router.parts.state.view
         _evacuate(fleet, HERE)
-        await until(lambda: view.evacuations.domains)
+        await wait_until(lambda: view.evacuations.domains)
 
         assert await _reached(fleet, router=1) == {THERE}
 
@@ -99,9 +99,9 @@
     async with _two_domains() as fleet:
         view = fleet.routers[0].parts.state.view
         _evacuate(fleet, HERE)
-        await until(lambda: view.evacuations.domains)
+        await wait_until(lambda: view.evacuations.domains)
         fleet.store.remove(table=Table.OPERATOR, key=f"evacuate/{HERE}")
-        await until(lambda: not view.evacuations.domains)
+        await wait_until(lambda: not view.evacuations.domains)
 
         assert await _reached(fleet) == {HERE}
 
@@ -112,7 +112,7 @@
         view = fleet.routers[0].parts.state.view
         for domain in (HERE, THERE):
             _evacuate(fleet, domain)
-        await until(lambda: len(view.evacuations.domains) == 2)
+        await wait_until(lambda: len(view.evacuations.domains) == 2)
         answer = await fleet.call("/unsafe/")
         headers = {name.lower(): value for name, value in answer.headers}
 
--- a/dotterelpaddle/tests/forwarding/test_faults.py
+++ b/dotterelpaddle/tests/forwarding/test_faults.py
@@ -27,7 +27,7 @@
     Unsealed,
     WrongEndpoint,
 )
-from dotterelpaddle.tests.forwarding.harness import Fleet, route, run_fleet, until
+from dotterelpaddle.tests.forwarding.harness import Fleet, route, run_fleet, wait_until
 
 pytestmark = pytest.mark.anyio
 
@@ -175,7 +175,7 @@
         gone = fleet.runners["runner-1"].entry(address=CLOSED, service="records")
         fleet.store.put(table=Table.ENDPOINTS, key="runner-1", value=gone)
         view = fleet.routers[0].parts.state.view
-        await until(lambda: any(entry.address == CLOSED for entry in view.entries))
+        await wait_until(lambda: any(entry.address == CLOSED for entry in view.entries))
         answers = [await fleet.call("/unsafe/") for _ in range(6)]
 
     assert {answer.status for answer in answers} == {200}
@@ -226,7 +226,7 @@
     async with run_fleet(runners=2, routes=routes) as fleet:
         _plan_first(fleet, Hang())
         answer = await fleet.call("/short/")
-        await until(lambda: any(r.closed_early for r in fleet.runners.values()))
+        await wait_until(lambda: any(r.closed_early for r in fleet.runners.values()))
 
     assert answer.status == 504
 
@@ -241,7 +241,7 @@
             response = await pool.handle_async_request(request)
             await anext(response.aiter_stream())
             await response.aclose()
-        await until(lambda: any(r.closed_early for r in fleet.runners.values()))
+        await wait_until(lambda: any(r.closed_early for r in fleet.runners.values()))
 
 
 async def test_requests_in_flight_survive_a_planned_stop() -> None:
@@ -255,7 +255,7 @@
         runner = fleet.runners["runner-1"]
         runner.pause = 0.05
         tasks.start_soon(_call, fleet)
-        await until(lambda: runner.runs)
+        await wait_until(lambda: runner.runs)
         fleet_router = fleet.routers[0]
         assert fleet_router.parts.app.in_flight == 1
 
@@ -278,7 +278,7 @@
         fleet.addresses["runner-1"] = CLOSED
         fleet.register("runner-1")
         view = fleet.routers[0].parts.state.view
-        await until(lambda: any(entry.address == CLOSED for entry in view.entries))
+        await wait_until(lambda: any(entry.address == CLOSED for entry in view.entries))
         answer = await fleet.call(path)
 
     headers = {name.lower(): value for name, value in answer.headers}
--- a/dotterelpaddle/tests/forwarding/test_flow.py
+++ b/dotterelpaddle/tests/forwarding/test_flow.py
@@ -9,7 +9,7 @@
     ACCOUNT,
     configuration,
     run_fleet,
-    until,
+    wait_until,
 )
 
 pytestmark = pytest.mark.anyio
@@ -153,7 +153,7 @@
     async with run_fleet() as fleet:
         view = fleet.routers[0].parts.state.view
         await fleet.add_runner("other-1", service="other")
-        await until(lambda: len(view.entries) == 2)
+        await wait_until(lambda: len(view.entries) == 2)
         split = [
             {"service": "records", "weight": 50},
             {"service": "other", "weight": 50},
@@ -166,7 +166,7 @@
             ],
         }
         fleet.store.configure(configuration=changed)
-        await until(lambda: view.version == 2)
+        await wait_until(lambda: view.version == 2)
         for _ in range(40):
             await fleet.call("/safe/")
 
--- a/dotterelpaddle/tests/forwarding/test_follower.py
+++ b/dotterelpaddle/tests/forwarding/test_follower.py
@@ -18,7 +18,7 @@
 from dotterelpaddle.forwarding.metrics import ForwardMetrics
 from dotterelpaddle.forwarding.view import FleetView
 from dotterelpaddle.ids import Revision
-from dotterelpaddle.tests.forwarding.harness import until
+from dotterelpaddle.tests.forwarding.harness import wait_until
 
 if TYPE_CHECKING:
     from collections.abc import AsyncIterator
@@ -126,7 +126,7 @@
 async def test_what_others_vouch_for_is_not_read_again() -> None:
     word, source = ScriptedWord(), ScriptedSource()
     async with _follow(word, source):
-        await until(lambda: word.looks > LOOKS)
+        await wait_until(lambda: word.looks > LOOKS)
 
     assert source.endpoint_calls == 0
 
@@ -134,9 +134,9 @@
 async def test_news_that_another_has_is_read_at_once() -> None:
     word, source = ScriptedWord(), ScriptedSource()
     async with _follow(word, source):
-        await until(lambda: word.looks > 0)
+        await wait_until(lambda: word.looks > 0)
         word.behind = True
-        await until(lambda: source.endpoint_calls > 0)
+        await wait_until(lambda: source.endpoint_calls > 0)
 
 
 async def test_word_that_is_too_old_is_not_relied_on(
@@ -146,14 +146,14 @@
     word, source = ScriptedWord(), ScriptedSource()
     async with _follow(word, source):
         word.age = float("inf")
-        await until(lambda: source.endpoint_calls > 2)
+        await wait_until(lambda: source.endpoint_calls > 2)
 
 
 async def test_router_that_reads_first_does_not_wait_for_others() -> None:
     word, source = ScriptedWord(is_platform_reader=True), ScriptedSource()
     async with _follow(word, source):
-        await until(lambda: source.endpoint_calls > 2)
-        await until(lambda: source.waits)
+        await wait_until(lambda: source.endpoint_calls > 2)
+        await wait_until(lambda: source.waits)
 
     assert source.waits[0] == following.CONFIGURATION_WAIT_SECONDS
 
@@ -161,7 +161,7 @@
 async def test_configuration_that_others_vouch_for_is_waited_for_long() -> None:
     word, source = ScriptedWord(), ScriptedSource()
     async with _follow(word, source):
-        await until(lambda: source.waits)
+        await wait_until(lambda: source.waits)
 
     assert source.waits == [following.CONFIRMED_WAIT_SECONDS]
 
@@ -172,9 +172,9 @@
     monkeypatch.setattr(following, "CONFIGURATION_TRUST", 0.2)
     word, source = ScriptedWord(), ScriptedSource()
     async with _follow(word, source):
-        await until(lambda: source.waits)
+        await wait_until(lambda: source.waits)
         word.configuration_age = float("inf")
-        await until(lambda: len(source.waits) > 1)
+        await wait_until(lambda: len(source.waits) > 1)
 
     assert source.waits == [
         following.CONFIRMED_WAIT_SECONDS,
@@ -187,15 +187,15 @@
     word = ScriptedWord(behind=True)
     source, view = ScriptedSource(failing=True), RecordingView(clock=monotonic)
     async with _follow(word, source, view, clock=lambda: now):
-        await until(lambda: source.endpoint_calls > 0)
+        await wait_until(lambda: source.endpoint_calls > 0)
         # Calls fail for long, but somebody hears of it between any two looks.
         while now < 4 * following.OUTAGE_AFTER_FAILURE_SECONDS:
             now += following.OUTAGE_AFTER_FAILURE_SECONDS / 4
             told = word.ages_told
-            await until(lambda told=told: word.ages_told > told + 1)
+            await wait_until(lambda told=told: word.ages_told > told + 1)
         source.failing = False
         calls = source.endpoint_calls
-        await until(lambda: source.endpoint_calls > calls + 1)
+        await wait_until(lambda: source.endpoint_calls > calls + 1)
 
     assert view.returns == 0
 
@@ -208,10 +208,10 @@
     source, view = ScriptedSource(failing=True), RecordingView(clock=monotonic)
     async with _follow(word, source, view) as follower:
         word.configuration_age = word.age = float("inf")
-        await until(lambda: source.endpoint_calls > 0 and follower.age > 0.1)
+        await wait_until(lambda: source.endpoint_calls > 0 and follower.age > 0.1)
         # Another one is the first to hear of its return.
         word.age = 0.0
-        await until(lambda: view.returns > 0)
+        await wait_until(lambda: view.returns > 0)
 
 
 async def test_router_that_is_told_all_news_makes_no_calls() -> None:
@@ -220,7 +220,7 @@
     )
     source = ScriptedSource()
     async with _follow(word, source):
-        await until(lambda: word.ages_told > LOOKS)
+        await wait_until(lambda: word.ages_told > LOOKS)
 
     assert source.endpoint_calls == 0
     assert source.waits == []
@@ -230,6 +230,6 @@
     word = ScriptedWord(receives_configurations=True, receives_endpoints=True)
     source = ScriptedSource()
     async with _follow(word, source):
-        await until(lambda: word.ages_told > LOOKS)
+        await wait_until(lambda: word.ages_told > LOOKS)
         word.configuration_age = word.age = float("inf")
-        await until(lambda: source.endpoint_calls > 1)
+        await wait_until(lambda: source.endpoint_calls > 1)
--- a/dotterelpaddle/tests/forwarding/test_leaving_incident.py
+++ b/dotterelpaddle/tests/forwarding/test_leaving_incident.py
@@ -17,7 +17,7 @@
 from dotterelpaddle.ids import EndpointId, ServiceName
 from dotterelpaddle.platform.names import Header
 from dotterelpaddle.standins.runner import Fail, Foreign, Refuse, WrongEndpoint
-from dotterelpaddle.tests.forwarding.harness import run_fleet, until
+from dotterelpaddle.tests.forwarding.harness import run_fleet, wait_until
 
 if TYPE_CHECKING:
     from dotterelpaddle.standins.runner import Behaviour
@@ -93,7 +93,7 @@
         leaving.leaving = True
         view = fleet.routers[1].parts.state.view
         await _call_until_told(fleet, "/safe/", "runner-1")
-        await until(lambda: len(view.ready(service=ServiceName("records"))) == 1)
+        await wait_until(lambda: len(view.ready(service=ServiceName("records"))) == 1)
         for _ in range(12):
             await fleet.call("/safe/", router=1)
 
@@ -125,7 +125,7 @@
             runner.leaving = True
         first = [await fleet.call("/safe/") for _ in range(4)]
         view = fleet.routers[0].parts.state.view
-        await until(lambda: not view.last_resort(service=ServiceName("records")))
+        await wait_until(lambda: not view.last_resort(service=ServiceName("records")))
         sent = sum(len(runner.received) for runner in fleet.runners.values())
         last = await fleet.call("/safe/")
         received = sum(len(runner.received) for runner in fleet.runners.values())
--- a/dotterelpaddle/tests/forwarding/test_metrics.py
+++ b/dotterelpaddle/tests/forwarding/test_metrics.py
@@ -6,7 +6,12 @@
 import pytest
 
 from dotterelpaddle.standins.runner import Fail
-from dotterelpaddle.tests.forwarding.harness import SERVICE, Fleet, run_fleet, until
+from dotterelpaddle.tests.forwarding.harness import (
+    SERVICE,
+    Fleet,
+    run_fleet,
+    wait_until,
+)
 
 pytestmark = pytest.mark.anyio
 
@@ -66,7 +71,7 @@
         first = await _page(fleet)
         name = next(iter(fleet.runners))
         fleet.store.remove(table="servers", key=name)
-        await until(lambda: len(view.entries) == 1)
+        await wait_until(lambda: len(view.entries) == 1)
         later = await _page(fleet)
 
     assert first["dotterelpaddle_configuration_version"] == 7
--- a/dotterelpaddle/tests/forwarding/test_news.py
+++ b/dotterelpaddle/tests/forwarding/test_news.py
@@ -14,7 +14,7 @@
     configuration,
     route,
     run_fleet,
-    until,
+    wait_until,
 )
 
 pytestmark = pytest.mark.anyio
@@ -47,7 +47,7 @@
     async with run_fleet() as fleet:
         routes = [route("new", "idempotent")]
         fleet.store.configure(configuration=configuration(version=2, routes=routes))
-        await until(lambda: _view(fleet).version == 2)
+        await wait_until(lambda: _view(fleet).version == 2)
 
         assert (await fleet.call("/new/")).status == 200
         assert (await fleet.call("/safe/")).status == 404
@@ -58,7 +58,7 @@
         tenants = [{"name": "acme", "apiKeys": ["key-2"]}]
         changed = configuration(version=2, tenants=tenants)
         fleet.store.configure(configuration=changed)
-        await until(lambda: _view(fleet).version == 2)
+        await wait_until(lambda: _view(fleet).version == 2)
 
         assert (await fleet.call("/safe/")).status == 401
         new = {Header.KEY: b"key-2"}
@@ -69,13 +69,13 @@
     async with run_fleet() as fleet:
         for version in range(2, 9):
             fleet.store.configure(configuration=configuration(version=version))
-        await until(lambda: _view(fleet).version == 8)
+        await wait_until(lambda: _view(fleet).version == 8)
 
 
 async def test_older_version_never_comes_back() -> None:
     async with run_fleet() as fleet:
         fleet.store.configure(configuration=configuration(version=5))
-        await until(lambda: _view(fleet).version == 5)
+        await wait_until(lambda: _view(fleet).version == 5)
         fleet.store.configure(configuration=configuration(version=4))
         fleet.store.configure(configuration=configuration(version=6))
         seen = []
@@ -84,7 +84,7 @@
             seen.append(_view(fleet).version)
             return seen[-1] == 6
 
-        await until(_reached_the_last)
+        await wait_until(_reached_the_last)
 
     assert 4 not in seen
 
@@ -106,12 +106,12 @@
     async with run_fleet() as fleet:
         calls = len(fleet.store.calls)
         fleet.store.configure(configuration=document)
-        await until(lambda: len(fleet.store.calls) > calls + 2)
+        await wait_until(lambda: len(fleet.store.calls) > calls + 2)
 
         assert _view(fleet).version == 1
         assert (await fleet.call("/safe/")).status == 200
         fleet.store.configure(configuration=configuration(version=10))
-        await until(lambda: _view(fleet).version == 10)
+        await wait_until(lambda: _view(fleet).version == 10)
 
 
 async def test_unknown_fields_are_left_out() -> None:
@@ -119,13 +119,13 @@
         newer = configuration(version=2, shapeOfThings={"to": "come"})
         newer["routes"][0]["colour"] = "red"
         fleet.store.configure(configuration=newer)
-        await until(lambda: _view(fleet).version == 2)
+        await wait_until(lambda: _view(fleet).version == 2)
 
 
 async def test_leaving_endpoint_gets_nothing_new() -> None:
     async with run_fleet(runners=2) as fleet:
         fleet.register("runner-1", state="draining")
-        await until(lambda: _names(fleet) == {"runner-2"})
+        await wait_until(lambda: _names(fleet) == {"runner-2"})
         for _ in range(6):
             await fleet.call("/safe/")
 
@@ -135,7 +135,7 @@
 async def test_endpoint_without_entry_serves_while_no_other_can() -> None:
     async with run_fleet() as fleet:
         fleet.store.remove(table=Table.ENDPOINTS, key="runner-1")
-        await until(lambda: not _names(fleet))
+        await wait_until(lambda: not _names(fleet))
 
         assert (await fleet.call("/safe/")).status == 200
 
@@ -144,7 +144,7 @@
     async with run_fleet() as fleet:
         fleet.store.put(table=Table.ENDPOINTS, key="broken", value={"service": 3})
         await fleet.add_runner("runner-2")
-        await until(lambda: _names(fleet) == {"runner-1", "runner-2"})
+        await wait_until(lambda: _names(fleet) == {"runner-1", "runner-2"})
 
 
 @pytest.mark.parametrize("fault", FAULTS, ids=repr)
@@ -153,12 +153,12 @@
         fleet.store.condition = fault
         fleet.store.wake()
         follower = fleet.routers[0].parts.follower
-        await until(lambda: follower.age > 1.0)
+        await wait_until(lambda: follower.age > 1.0)
         assert (await fleet.call("/safe/")).status == 200
 
         fleet.store.condition = Answering()
         fleet.store.configure(configuration=configuration(version=2))
-        await until(lambda: _view(fleet).version == 2)
+        await wait_until(lambda: _view(fleet).version == 2)
 
 
 async def test_lost_history_is_made_good_by_a_whole_read() -> None:
@@ -171,8 +171,8 @@
         fleet.store.forget_history()
         fleet.store.condition = Answering()
 
-        await until(lambda: _view(fleet).version == 2)
-        await until(lambda: not _names(fleet))
+        await wait_until(lambda: _view(fleet).version == 2)
+        await wait_until(lambda: not _names(fleet))
 
 
 async def test_entries_that_lapsed_while_the_store_was_away_serve_on() -> None:
@@ -180,25 +180,25 @@
         fleet.store.condition = Refusing(status=503)
         fleet.store.wake()
         follower = fleet.routers[0].parts.follower
-        await until(lambda: follower.age > 1.2)
+        await wait_until(lambda: follower.age > 1.2)
         fleet.store.remove(table=Table.ENDPOINTS, key="runner-1")
         fleet.store.condition = Answering()
-        await until(lambda: follower.age < 0.5)
+        await wait_until(lambda: follower.age < 0.5)
 
         assert _names(fleet) == {"runner-1", "runner-2"}
-        await until(lambda: _names(fleet) == {"runner-2"})
+        await wait_until(lambda: _names(fleet) == {"runner-2"})
 
 
 async def test_router_that_the_store_turns_away_learns_from_others() -> None:
     async with run_fleet() as fleet:
         cut_off = await fleet.add_router(store=NO_STORE)
-        await until(lambda: cut_off.parts.app.ready)
+        await wait_until(lambda: cut_off.parts.app.ready)
         assert (await fleet.call("/safe/", router=1)).status == 200
 
         fleet.store.configure(configuration=configuration(version=2))
-        await until(lambda: _view(fleet, 1).version == 2)
+        await wait_until(lambda: _view(fleet, 1).version == 2)
         fleet.register("runner-1", state="draining")
-        await until(lambda: not _names(fleet, 1))
+        await wait_until(lambda: not _names(fleet, 1))
 
 
 async def test_routers_count_each_others_requests() -> None:
@@ -206,8 +206,8 @@
         first, second = (router.parts.state for router in fleet.routers)
         endpoint = EndpointId("runner-1")
         with first.loads.track(endpoint=endpoint):
-            await until(lambda: second.loads.loads()[endpoint] == 1)
-        await until(lambda: second.loads.loads()[endpoint] == 0)
+            await wait_until(lambda: second.loads.loads()[endpoint] == 1)
+        await wait_until(lambda: second.loads.loads()[endpoint] == 0)
 
 
 async def test_readiness_follows_the_stop() -> None:
--- a/dotterelpaddle/tests/forwarding/test_reachability.py
+++ b/dotterelpaddle/tests/forwarding/test_reachability.py
@@ -9,7 +9,7 @@
 
 from dotterelpaddle.forwarding import reachability
 from dotterelpaddle.network import LinkedBackend
-from dotterelpaddle.tests.forwarding.harness import Fleet, run_fleet, until
+from dotterelpaddle.tests.forwarding.harness import Fleet, run_fleet, wait_until
 
 pytestmark = pytest.mark.anyio
 
@@ -37,7 +37,9 @@
         await fleet.call("/safe/")
         parts = fleet.routers[0].parts
         entries = parts.state.view.entries
-        await until(lambda: not parts.reachability.possibly_reachable(entries=entries))
+        await wait_until(
+            lambda: not parts.reachability.possibly_reachable(entries=entries)
+        )
 
 
 def _failed_attempts(fleet: Fleet) -> float:
@@ -74,7 +76,7 @@
         parts = fleet.routers[0].parts
         entries = parts.state.view.entries
         cut.ports.clear()
-        await until(
+        await wait_until(
             lambda: len(parts.reachability.reachable(entries=entries)) == len(entries)
         )
         answer = await fleet.call("/safe/")
--- a/dotterelpaddle/tests/forwarding/test_residency.py
+++ b/dotterelpaddle/tests/forwarding/test_residency.py
@@ -12,7 +12,7 @@
     KEY,
     route,
     run_fleet,
-    until,
+    wait_until,
 )
 
 pytestmark = pytest.mark.anyio
@@ -49,7 +49,7 @@
         for domain in REGIONS:
             await fleet.add_runner(domain, zone=domain)
         router = await fleet.add_router(regions=REGIONS)
-        await until(lambda: router.parts.app.ready)
+        await wait_until(lambda: router.parts.app.ready)
         answers = [await fleet.call("/safe/") for _ in range(CALLS)]
         received = {name for name, each in fleet.runners.items() if each.received}
 
--- a/dotterelpaddle/tests/owners/test_routers.py
+++ b/dotterelpaddle/tests/owners/test_routers.py
@@ -9,7 +9,7 @@
 
 from dotterelpaddle.ids import EndpointId
 from dotterelpaddle.peers import plan
-from dotterelpaddle.tests.forwarding.harness import Fleet, run_fleet, until
+from dotterelpaddle.tests.forwarding.harness import Fleet, run_fleet, wait_until
 
 if TYPE_CHECKING:
     from dotterelpaddle.ids import RouterId
@@ -57,8 +57,8 @@
     owner = fleet.routers[OWNER].parts.state.directory.own.router
     for router in fleet.routers:
         directory = router.parts.state.directory
-        await until(lambda d=directory: _owner(d) == owner)
-        await until(lambda r=router: r.parts.app.ready)
+        await wait_until(lambda d=directory: _owner(d) == owner)
+        await wait_until(lambda r=router: r.parts.app.ready)
     return Heard(fleet=fleet, place=OWNER)
 
 
@@ -113,8 +113,8 @@
         loads = fleet.routers[ASKING].parts.state.loads
         endpoint = fleet.routers[ASKING].parts.state.view.entries[0].endpoint
         with loads.track(endpoint=endpoint):
-            await until(lambda: counts.loads.get(endpoint) == 1)
-        await until(lambda: not counts.loads)
+            await wait_until(lambda: counts.loads.get(endpoint) == 1)
+        await wait_until(lambda: not counts.loads)
 
 
 async def test_owner_that_has_not_heard_is_told_who_leaves() -> None:
@@ -125,7 +125,7 @@
         leaving = EndpointId("runner-1")
         view.leaving.record(endpoint=leaving)
         await fleet.add_runner("runner-3")
-        await until(lambda: len(view.entries) == 3)
+        await wait_until(lambda: len(view.entries) == 3)
         answer = await fleet.call("/unsafe/", router=ASKING)
 
     assert answer.status == 200
--- a/dotterelpaddle/tests/peers/test_snapshot.py
+++ b/dotterelpaddle/tests/peers/test_snapshot.py
@@ -24,7 +24,11 @@
 )
 from dotterelpaddle.platform.documents import PlatformDocumentDecoder
 from dotterelpaddle.standins.runner import RunnerStandin
-from dotterelpaddle.tests.forwarding.harness import ANYWHERE, SERVICE, configuration
+from dotterelpaddle.tests.forwarding.harness import (
+    ANY_LOCAL_ADDRESS,
+    SERVICE,
+    configuration,
+)
 
 DOCUMENTS = PlatformDocumentDecoder()
 NOTHING_KNOWN = SnapshotRequest(revision=None, uses=True)
@@ -34,7 +38,7 @@
     view = FleetView(clock=lambda: 0.0)
     document = orjson.dumps(configuration(version=version))
     view.apply_configuration(configuration=DOCUMENTS.configuration(document=document))
-    row = RunnerStandin(name="a").entry(address=ANYWHERE, service=SERVICE)
+    row = RunnerStandin(name="a").entry(address=ANY_LOCAL_ADDRESS, service=SERVICE)
     entry = DOCUMENTS.endpoint(
         name=EndpointName("a"), document=orjson.dumps(row), revision=Revision(4)
     )
