--- a/dotterelpaddle/peers/word.py
+++ b/dotterelpaddle/peers/word.py
@@ -94,7 +94,7 @@
 
         A router that tells nothing of evacuations does not vouch for them either.
         """
-        return self._youngest(
+        return self._lowest_age(
             (peer, peer.report.configuration_age)
             for peer in self._directory.alive
             if peer.report.version == self._view.version
@@ -104,7 +104,7 @@
     @property
     def endpoints_age(self) -> float:
         """Seconds since one that knows the same endpoints heard from the platform."""
-        return self._youngest(
+        return self._lowest_age(
             (peer, peer.report.endpoints_age)
             for peer in self._directory.alive
             if peer.report.endpoints_tag == self._view.endpoints_tag
@@ -127,8 +127,8 @@
         """Whether another router knows other endpoints, and later ones."""
         return self.peer_ahead is not None
 
-    def _youngest(self, told: Iterable[tuple[Peer, float]]) -> float:
+    def _lowest_age(self, reported: Iterable[tuple[Peer, float]]) -> float:
         """Return the least of ages that were told some time ago."""
         now = self._clock()
-        ages = (age + now - peer.received_at for peer, age in told)
+        ages = (age + now - peer.received_at for peer, age in reported)
         return min(ages, default=float("inf"))
