--- a/dotterelpaddle/forwarding/parts.py
+++ b/dotterelpaddle/forwarding/parts.py
@@ -323,7 +323,7 @@
             cache_lists=CacheDiscovery(
                 view=knowledge.view,
                 caches=knowledge.caches,
-                word=word,
+                peer_summary=word,
                 shards=shards,
                 quiet=knowledge.quiet,
                 reader=dependencies.cache_reader,
--- a/dotterelpaddle/peers/cache_lists.py
+++ b/dotterelpaddle/peers/cache_lists.py
@@ -62,25 +62,29 @@
 
 
 def choose_query_scope(
-    *, engines: int, waited: float, owns: bool | None, first: bool
+    *,
+    engine_count: int,
+    uptime: float,
+    is_domain_owner: bool | None,
+    is_platform_reader: bool,
 ) -> QueryScope:
     """Decide which engines a router asks that does not know their caches.
 
     Args:
-        engines: How many there are.
-        waited: Seconds since its start.
-        owns: Whether it decides for its failure domain; None where no owners are known.
-        first: Whether it reads for all routers that it hears.
+        engine_count: How many there are.
+        uptime: Seconds since its start.
+        is_domain_owner: Whether it decides for its failure domain; None where no owners are known.
+        is_platform_reader: Whether it reads for all routers that it hears.
     """
-    if owns is not None:
-        return QueryScope.OWN_DOMAIN if owns else QueryScope.NONE
-    if waited < QUERY_DELAY_SECONDS:
+    if is_domain_owner is not None:
+        return QueryScope.OWN_DOMAIN if is_domain_owner else QueryScope.NONE
+    if uptime < QUERY_DELAY_SECONDS:
         return QueryScope.LATER
-    if engines <= MAX_ENGINES_QUERIED_BY_ALL:
+    if engine_count <= MAX_ENGINES_QUERIED_BY_ALL:
         return QueryScope.ALL
-    if waited >= READER_SETTLED_SECONDS and first:
+    if uptime >= READER_SETTLED_SECONDS and is_platform_reader:
         return QueryScope.ALL
-    return QueryScope.NONE if waited >= GIVE_UP_SECONDS else QueryScope.LATER
+    return QueryScope.NONE if uptime >= GIVE_UP_SECONDS else QueryScope.LATER
 
 
 class CacheDiscovery:
@@ -89,7 +93,7 @@
     Args:
         view: The engines.
         caches: Where parts of prompts are.
-        word: Tells what part this router has among the others.
+        peer_summary: Tells what part this router has among the others.
         shards: Tells who decides for which engines.
         quiet: Engines that want nothing from this router for a while.
         reader: Asks an engine.
@@ -102,7 +106,7 @@
         *,
         view: FleetView,
         caches: CacheMap,
-        word: PeerSummary,
+        peer_summary: PeerSummary,
         shards: ShardMap,
         quiet: EndpointBackoffs,
         reader: CacheReader,
@@ -111,19 +115,19 @@
     ) -> None:
         self._view = view
         self._caches = caches
-        self._word = word
+        self._peer_summary = peer_summary
         self._shards = shards
         self._quiet = quiet
         self._reader = reader
         self._failure_domain = failure_domain
         self._clock = clock
         self._started_at = clock()
-        self._owned = False
+        self._was_owner = False
 
     async def discover(self) -> None:
         """Ask engines, if it is due and this router's part."""
-        owns = self._word.is_domain_owner
-        became_owner = bool(owns) and not self._owned
+        owns = self._peer_summary.is_domain_owner
+        became_owner = bool(owns) and not self._was_owner
         if not self._view.complete or (self._caches.is_populated and not became_owner):
             return
         asked = self._view.evacuations.exclude_evacuated(
@@ -131,33 +135,33 @@
         )
         engines = [entry for entry in asked if entry.models]
         match choose_query_scope(
-            engines=len(engines),
-            waited=self._clock() - self._started_at,
-            owns=owns,
-            first=self._word.is_platform_reader,
+            engine_count=len(engines),
+            uptime=self._clock() - self._started_at,
+            is_domain_owner=owns,
+            is_platform_reader=self._peer_summary.is_platform_reader,
         ):
             case QueryScope.NONE:
                 self._caches.mark_populated()
             case QueryScope.OWN_DOMAIN:
-                self._owned = True
+                self._was_owner = True
                 own = self._failure_domain
                 owning = self._shards.owning_domain
-                await self._ask(
+                await self._query(
                     [each for each in engines if owning(endpoint=each.endpoint) == own]
                 )
             case QueryScope.ALL:
-                await self._ask(engines)
+                await self._query(engines)
 
-    async def _ask(self, engines: Sequence[EndpointEntry]) -> None:
+    async def _query(self, engines: Sequence[EndpointEntry]) -> None:
         async with anyio.create_task_group() as tasks:
-            tasks.start_soon(self._mark_known_soon)
+            tasks.start_soon(self._mark_populated_after_wait)
             async with anyio.create_task_group() as reads:
                 for entry in engines:
-                    reads.start_soon(self._read_one, entry)
+                    reads.start_soon(self._query_engine, entry)
             tasks.cancel_scope.cancel()
         self._caches.mark_populated()
 
-    async def _mark_known_soon(self) -> None:
+    async def _mark_populated_after_wait(self) -> None:
         """Let requests go on while some engines have not answered.
 
         Engines behind a cut never do; what the others told is all that can be used.
@@ -165,7 +169,7 @@
         await anyio.sleep(MAX_QUERY_WAIT_SECONDS)
         self._caches.mark_populated()
 
-    async def _read_one(self, entry: EndpointEntry) -> None:
+    async def _query_engine(self, entry: EndpointEntry) -> None:
         if self._quiet.is_backing_off(endpoint=entry.endpoint):
             log.info("cache_unread", endpoint=entry.endpoint, cause="it wants quiet")
             return
--- a/dotterelpaddle/tests/peers/test_cache_lists.py
+++ b/dotterelpaddle/tests/peers/test_cache_lists.py
@@ -67,7 +67,7 @@
         self.lists = CacheDiscovery(
             view=self.view,
             caches=self.caches,
-            word=self.word,  # type: ignore[arg-type]
+            peer_summary=self.word,  # type: ignore[arg-type]
             shards=ShardMap(view=self.view),
             quiet=self.quiet,
             reader=SimpleNamespace(cached_parts=self._cached),
