--- a/dotterelpaddle/peers/datagrams.py
+++ b/dotterelpaddle/peers/datagrams.py
@@ -27,28 +27,28 @@
 dropped."""
 
 
-class _Inbox(asyncio.DatagramProtocol):
+class _ReceiveQueue(asyncio.DatagramProtocol):
     """Keeps what has come in until it is read."""
 
     def __init__(self) -> None:
-        self._waiting: deque[tuple[bytes, Address]] = deque(maxlen=MAX_QUEUED_DATAGRAMS)
-        self._reader: asyncio.Future[None] | None = None
+        self._queue: deque[tuple[bytes, Address]] = deque(maxlen=MAX_QUEUED_DATAGRAMS)
+        self._arrival: asyncio.Future[None] | None = None
 
     def datagram_received(self, data: bytes, addr: tuple[str | Any, int]) -> None:
-        if len(self._waiting) == MAX_QUEUED_DATAGRAMS:
+        if len(self._queue) == MAX_QUEUED_DATAGRAMS:
             log.warning("datagram_dropped", waiting=MAX_QUEUED_DATAGRAMS)
-        self._waiting.append((data, Address(host=addr[0], port=addr[1])))
-        if self._reader is not None and not self._reader.done():
-            self._reader.set_result(None)
+        self._queue.append((data, Address(host=addr[0], port=addr[1])))
+        if self._arrival is not None and not self._arrival.done():
+            self._arrival.set_result(None)
 
     def error_received(self, exc: Exception) -> None:
         log.warning("datagram_unsent", cause=str(exc))
 
     async def receive(self) -> tuple[bytes, Address]:
-        while not self._waiting:
-            self._reader = asyncio.get_running_loop().create_future()
-            await self._reader
-        return self._waiting.popleft()
+        while not self._queue:
+            self._arrival = asyncio.get_running_loop().create_future()
+            await self._arrival
+        return self._queue.popleft()
 
 
 class DatagramSocket:
@@ -56,15 +56,19 @@
 
     Args:
         transport: The socket.
-        inbox: What comes in.
+        queue: What comes in.
         links: The process's links.
     """
 
     def __init__(
-        self, *, transport: asyncio.DatagramTransport, inbox: _Inbox, links: Links
+        self,
+        *,
+        transport: asyncio.DatagramTransport,
+        queue: _ReceiveQueue,
+        links: Links,
     ) -> None:
         self._transport = transport
-        self._inbox = inbox
+        self._queue = queue
         self._links = links
 
     @property
@@ -76,7 +80,7 @@
     async def receive(self) -> tuple[bytes, Address]:
         """Return the next datagram that a link does not lose, and its sender."""
         while True:
-            datagram, sender = await self._inbox.receive()
+            datagram, sender = await self._queue.receive()
             if self._links.is_open(peer=sender):
                 return datagram, sender
 
@@ -99,9 +103,9 @@
     """
     loop = asyncio.get_running_loop()
     transport, inbox = await loop.create_datagram_endpoint(
-        _Inbox, local_addr=(address.host, address.port), family=socket.AF_INET
+        _ReceiveQueue, local_addr=(address.host, address.port), family=socket.AF_INET
     )
     try:
-        yield DatagramSocket(transport=transport, inbox=inbox, links=links)
+        yield DatagramSocket(transport=transport, queue=inbox, links=links)
     finally:
         transport.close()
--- a/dotterelpaddle/tests/peers/test_datagrams.py
+++ b/dotterelpaddle/tests/peers/test_datagrams.py
@@ -9,7 +9,7 @@
 from dotterelpaddle.links import Links
 from dotterelpaddle.peers.datagrams import (
     MAX_QUEUED_DATAGRAMS,
-    _Inbox,
+    _ReceiveQueue,
     open_datagram_socket,
 )
 
@@ -45,7 +45,7 @@
 
 async def test_flood_that_nobody_reads_does_not_grow_without_end() -> None:
     """Guards against a frozen router that runs out of memory when it wakes."""
-    inbox = _Inbox()
+    inbox = _ReceiveQueue()
     for number in range(MAX_QUEUED_DATAGRAMS + 5):
         inbox.datagram_received(b"%d" % number, ("127.0.0.1", 1))
 
