--- a/dotterelpaddle/peers/directory.py
+++ b/dotterelpaddle/peers/directory.py
@@ -82,7 +82,7 @@
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
-class _Named:
+class _NamedPeer:
     """A router that another one named."""
 
     info: PeerInfo
@@ -90,7 +90,7 @@
 
 
 @dataclass(kw_only=True, slots=True)
-class _Tries:
+class _Attempts:
     """Reports to an address that has not answered.
 
     Attributes:
@@ -123,11 +123,11 @@
         self._clock = clock
         self._seeds = frozenset(seeds) - {own.address}
         self._peers: dict[RouterId, Peer] = {}
-        self._named: dict[RouterId, _Named] = {}
-        self._tries: dict[Address, _Tries] = {}
-        self._asked: dict[RouterId, float] = {}
-        self._owners: dict[FailureDomain, _Named] = {}
-        self._late: dict[RouterId, float] = {}
+        self._named: dict[RouterId, _NamedPeer] = {}
+        self._attempts: dict[Address, _Attempts] = {}
+        self._expected: dict[RouterId, float] = {}
+        self._owners: dict[FailureDomain, _NamedPeer] = {}
+        self._late_owners: dict[RouterId, float] = {}
         self._leaving = False
 
     @property
@@ -170,7 +170,8 @@
             if peer.report.share.scope is TotalsScope.OTHERS:
                 heard.update(peer.report.domains)
         return {
-            name.failure_domain: name.failure_domain in heard for name in self._all()
+            name.failure_domain: name.failure_domain in heard
+            for name in self._known_peers()
         }
 
     def rank(self, *, router: RouterId) -> Rank:
@@ -178,7 +179,7 @@
 
         All routers put those that they know into the same order.
         """
-        return _rank(self._name(router))
+        return _rank(self._peer_info(router))
 
     def aggregators(self, *, failure_domain: FailureDomain) -> tuple[PeerInfo, ...]:
         """The routers of a failure domain that aggregate for the others of it.
@@ -186,10 +187,14 @@
         Those that were asked to, and have been silent since, are left out, and those
         that are stopping while there are others.
         """
-        names = [name for name in self._all() if name.failure_domain == failure_domain]
+        names = [
+            name
+            for name in self._known_peers()
+            if name.failure_domain == failure_domain
+        ]
         if failure_domain == self._own.failure_domain:
             names.append(self._own)
-        answering = [name for name in names if not self._is_silent(name.router)]
+        answering = [name for name in names if not self._is_unresponsive(name.router)]
         staying = [name for name in answering if not self._is_leaving(name.router)]
         return tuple(sorted(staying or answering, key=_rank)[:AGGREGATORS_PER_DOMAIN])
 
@@ -216,42 +221,44 @@
         domain = self._own.failure_domain
         aggregators = self.aggregators(failure_domain=domain)
         near = [peer for peer in self.alive if peer.info.failure_domain == domain]
-        self._note_late_owner(near=near)
+        self._record_late_owner(domain_peers=near)
         members = [
             peer.info
             for peer in near
             if peer.info not in aggregators and not peer.report.leaving
         ]
-        in_time = [name for name in members if name.router not in self._late]
-        self._note_owner(min(in_time or members, key=_rank, default=aggregators[0]))
+        in_time = [name for name in members if name.router not in self._late_owners]
+        self._record_owner(min(in_time or members, key=_rank, default=aggregators[0]))
 
-    def _note_late_owner(self, *, near: Sequence[Peer]) -> None:
+    def _record_late_owner(self, *, domain_peers: Sequence[Peer]) -> None:
         """Note the owner as late if most routers of its failure domain find it so."""
         now = self._clock()
-        self._late = {
+        self._late_owners = {
             router: at
-            for router, at in self._late.items()
+            for router, at in self._late_owners.items()
             if now - at <= LATE_OWNER_COOLDOWN_SECONDS
         }
         owner = self._owners.get(self._own.failure_domain)
         if owner is None:
             return
         router = owner.info.router
-        finding = sum(router in peer.report.silent_owners for peer in near)
-        if router not in self._late and finding > LATE_OWNER_QUORUM * len(near):
-            self._late[router] = now
+        finding = sum(router in peer.report.silent_owners for peer in domain_peers)
+        if router not in self._late_owners and finding > LATE_OWNER_QUORUM * len(
+            domain_peers
+        ):
+            self._late_owners[router] = now
             log.warning(
-                "owner_late", router=router, found_by=finding, routers=len(near)
+                "owner_late", router=router, found_by=finding, routers=len(domain_peers)
             )
 
     def expect_reports(self, *, routers: frozenset[RouterId]) -> None:
         """Note which routers are expected to report from now on."""
         now = self._clock()
-        for router in tuple(self._asked):
-            if router not in routers and not self._is_silent(router):
-                del self._asked[router]
+        for router in tuple(self._expected):
+            if router not in routers and not self._is_unresponsive(router):
+                del self._expected[router]
         for router in routers:
-            self._asked.setdefault(router, now)
+            self._expected.setdefault(router, now)
 
     def receive(self, *, report: PeerReport, address: Address) -> bool:
         """Take in a report.
@@ -271,15 +278,15 @@
                 incarnation=report.incarnation,
             )
         self._peers[report.router] = Peer(
-            info=_name_of(report=report, address=address, known=known),
+            info=_sender_info(report=report, address=address, known=known),
             report=report,
             received_at=now,
         )
         for name in report.peers:
             if name.router != self._own.router:
-                self._named[name.router] = _Named(info=name, named_at=now)
+                self._named[name.router] = _NamedPeer(info=name, named_at=now)
         for name in report.owners:
-            self._note_owner(name)
+            self._record_owner(name)
         return True
 
     def knows_process(self, *, report: PeerReport) -> bool:
@@ -289,16 +296,20 @@
 
     def unreached_targets(self) -> list[Address]:
         """Addresses of routers that are not heard and are due for a report now."""
-        quiet = {name.address for name in self._all()} | self._seeds
-        return self._due(quiet - {peer.address for peer in self.alive})
+        quiet = {name.address for name in self._known_peers()} | self._seeds
+        return self._due_targets(quiet - {peer.address for peer in self.alive})
 
     def unresponsive_targets(self) -> list[Address]:
         """Addresses that do not answer and are due for a report now.
 
         Without any router that answers the seeds are tried.
         """
-        silent = {name.address for name in self._all() if self._is_silent(name.router)}
-        return self._due(silent if self.alive else silent | self._seeds)
+        silent = {
+            name.address
+            for name in self._known_peers()
+            if self._is_unresponsive(name.router)
+        }
+        return self._due_targets(silent if self.alive else silent | self._seeds)
 
     def update_liveness(self) -> None:
         """Note who has fallen silent, and forget those that long have."""
@@ -311,14 +322,14 @@
             if silent > PEER_EXPIRY_SECONDS:
                 del self._peers[router]
                 self._named.pop(router, None)
-                self._tries.pop(peer.address, None)
+                self._attempts.pop(peer.address, None)
         for router, named in tuple(self._named.items()):
             if now - named.named_at > PEER_EXPIRY_SECONDS:
                 del self._named[router]
-        for router in self._asked.keys() - self._peers.keys() - self._named.keys():
-            del self._asked[router]
+        for router in self._expected.keys() - self._peers.keys() - self._named.keys():
+            del self._expected[router]
 
-    def _note_owner(self, name: PeerInfo) -> None:
+    def _record_owner(self, name: PeerInfo) -> None:
         known = self._owners.get(name.failure_domain)
         if known is None or known.info != name:
             log.info(
@@ -327,25 +338,27 @@
                 router=name.router,
                 before=known.info.router if known is not None else "",
             )
-        self._owners[name.failure_domain] = _Named(info=name, named_at=self._clock())
+        self._owners[name.failure_domain] = _NamedPeer(
+            info=name, named_at=self._clock()
+        )
 
-    def _due(self, addresses: Iterable[Address]) -> list[Address]:
+    def _due_targets(self, addresses: Iterable[Address]) -> list[Address]:
         due = [address for address in sorted(addresses) if self._is_due(address)]
         for address in due:
-            self._tries.setdefault(address, _Tries()).record(at=self._clock())
+            self._attempts.setdefault(address, _Attempts()).record(at=self._clock())
         return due
 
     def _is_due(self, address: Address) -> bool:
-        tries = self._tries.get(address)
+        tries = self._attempts.get(address)
         return tries is None or self._clock() - tries.sent_at >= tries.backoff
 
-    def _all(self) -> list[PeerInfo]:
+    def _known_peers(self) -> list[PeerInfo]:
         """All other routers that are known of."""
         named = {router: each.info for router, each in self._named.items()}
         heard = {router: peer.info for router, peer in self._peers.items()}
         return list({**named, **heard}.values())
 
-    def _name(self, router: RouterId) -> PeerInfo:
+    def _peer_info(self, router: RouterId) -> PeerInfo:
         peer = self._peers.get(router)
         if peer is not None:
             return peer.info
@@ -358,9 +371,9 @@
         peer = self._peers.get(router)
         return peer is not None and peer.alive and peer.report.leaving
 
-    def _is_silent(self, router: RouterId) -> bool:
+    def _is_unresponsive(self, router: RouterId) -> bool:
         """Tell whether a router has not reported since it was asked to."""
-        asked_at = self._asked.get(router)
+        asked_at = self._expected.get(router)
         if asked_at is None:
             return False
         peer = self._peers.get(router)
@@ -378,7 +391,9 @@
     return digest(text=router)
 
 
-def _name_of(*, report: PeerReport, address: Address, known: Peer | None) -> PeerInfo:
+def _sender_info(
+    *, report: PeerReport, address: Address, known: Peer | None
+) -> PeerInfo:
     """Return how to reach the sender of a report, the same as before if it is."""
     name = PeerInfo(
         router=report.router,
