--- a/dotterelpaddle/forwarding/parts.py
+++ b/dotterelpaddle/forwarding/parts.py
@@ -297,7 +297,7 @@
             crashes=knowledge.crashes,
             directory=directory,
             plan=ReportPlan(directory=directory, shares=knowledge.totals),
-            word=word,
+            peer_summary=word,
             follower=follower,
             owners=owners,
             generator=generator,
--- a/dotterelpaddle/peers/exchange.py
+++ b/dotterelpaddle/peers/exchange.py
@@ -82,7 +82,7 @@
         crashes: Under which requests endpoints ended.
         directory: The other routers.
         plan: Who is told what.
-        word: What other routers vouch for.
+        peer_summary: What other routers vouch for.
         follower: Knows how long ago the platform was heard from.
         owners: Takes in messages between routers and owners.
         generator: Source of jitter.
@@ -99,7 +99,7 @@
         crashes: CrashTracker,
         directory: PeerDirectory,
         plan: ReportPlan,
-        word: PeerSummary,
+        peer_summary: PeerSummary,
         follower: Follower,
         owners: OwnerExchange,
         generator: random.Random,
@@ -113,7 +113,7 @@
         self._crashes = crashes
         self._directory = directory
         self._plan = plan
-        self._word = word
+        self._peer_summary = peer_summary
         self._follower = follower
         self._owners = owners
         self._generator = generator
@@ -122,32 +122,32 @@
         self._rounds = 0
         self._dropped = 0
 
-    async def run(self, datagrams: DatagramSocket, control: Address) -> None:
+    async def run(self, socket: DatagramSocket, control: Address) -> None:
         """Exchange reports until cancelled.
 
         Args:
-            datagrams: The socket for them.
+            socket: The socket for them.
             control: Where this router hands out what it knows.
         """
         async with anyio.create_task_group() as tasks:
-            tasks.start_soon(self._receive, datagrams, control)
-            tasks.start_soon(self._report_regularly, datagrams, control)
+            tasks.start_soon(self._receive, socket, control)
+            tasks.start_soon(self._send_regularly, socket, control)
 
-    async def _report_regularly(
+    async def _send_regularly(
         self, datagrams: DatagramSocket, control: Address
     ) -> None:
         try:
             while True:
-                await self._report_to_all(datagrams, control)
+                await self._send_reports(datagrams, control)
                 await anyio.sleep(
                     REPORT_INTERVAL_SECONDS * self._generator.uniform(0.9, 1.1)
                 )
         finally:
             # What was seen since the last report would end with this router.
             with anyio.CancelScope(shield=True):
-                await self._report_to_all(datagrams, control)
+                await self._send_reports(datagrams, control)
 
-    async def _report_to_all(self, datagrams: DatagramSocket, control: Address) -> None:
+    async def _send_reports(self, datagrams: DatagramSocket, control: Address) -> None:
         self._rounds += 1
         recipients = self._plan.recipients()
         names_due = (
@@ -155,7 +155,9 @@
             or self._rounds % PEER_LIST_INTERVAL_ROUNDS == 1
         )
         base = replace(
-            self._report(control=control, names=self._names() if names_due else ()),
+            self._build_report(
+                control=control, names=self._peers_to_list() if names_due else ()
+            ),
             crashes=tuple(self._crashes.take_due_notes()),
             leaving_endpoints=self._view.leaving.take_due_notices(),
         )
@@ -168,13 +170,13 @@
             kind = (recipient.scope, recipient.reply_request)
             content = written.get(kind)
             if content is None:
-                report = self._addressed(report=base, recipient=recipient, uses=uses)
+                report = self._report_for(report=base, recipient=recipient, uses=uses)
                 content = encode_report(report=report)
             if recipient.scope is not TotalsScope.OTHERS:
                 written[kind] = content
             await datagrams.send(content, recipient.address)
 
-    def _addressed(
+    def _report_for(
         self,
         *,
         report: PeerReport,
@@ -185,8 +187,8 @@
         return replace(
             report,
             ask=recipient.reply_request,
-            share=self._share(own=report.share, recipient=recipient),
-            owners=self._owners_told(recipient=recipient),
+            share=self._totals_for(own=report.share, recipient=recipient),
+            owners=self._owners_for(recipient=recipient),
             uses=tuple(
                 use
                 for origin in ORIGINS_BY_SCOPE[recipient.scope]
@@ -194,11 +196,13 @@
             ),
         )
 
-    def _report(self, *, control: Address, names: tuple[PeerInfo, ...]) -> PeerReport:
+    def _build_report(
+        self, *, control: Address, names: tuple[PeerInfo, ...]
+    ) -> PeerReport:
         """Make a report of what this router knows and does itself."""
         self._sequence += 1
         revision = self._view.endpoints_revision
-        follower, word = self._follower, self._word
+        follower, word = self._follower, self._peer_summary
         return PeerReport(
             router=self._own.router,
             failure_domain=self._own.failure_domain,
@@ -228,7 +232,7 @@
             evacuated=self._view.evacuations.snapshot,
         )
 
-    def _share(self, *, own: RequestTotals, recipient: Recipient) -> RequestTotals:
+    def _totals_for(self, *, own: RequestTotals, recipient: Recipient) -> RequestTotals:
         match recipient.scope:
             case TotalsScope.DOMAIN:
                 return self._shares.domain_totals(own=own)
@@ -236,7 +240,7 @@
                 return self._shares.totals_except(own=own, router=recipient.router)
         return own
 
-    def _owners_told(self, *, recipient: Recipient) -> tuple[PeerInfo, ...]:
+    def _owners_for(self, *, recipient: Recipient) -> tuple[PeerInfo, ...]:
         """Who owns the shards of the own failure domain, or of all."""
         owners = self._directory.owners()
         match recipient.scope:
@@ -247,7 +251,7 @@
                 return tuple(owners.values())
         return ()
 
-    def _names(self) -> tuple[PeerInfo, ...]:
+    def _peers_to_list(self) -> tuple[PeerInfo, ...]:
         """Name routers that are heard: the first of all ranks, and others in turn."""
         alive = sorted(
             (peer.info for peer in self._directory.alive),
@@ -279,17 +283,17 @@
                     dropped=self._dropped,
                 )
                 continue
-            if self._hear(report=report, address=address):
-                await self._answer(datagrams, control, address)
+            if self._apply_report(report=report, address=address):
+                await self._send_answer(datagrams, control, address)
 
-    async def _answer(
+    async def _send_answer(
         self, datagrams: DatagramSocket, control: Address, address: Address
     ) -> None:
         """Tell a router at once who there is."""
-        answer = self._report(control=control, names=self._names())
+        answer = self._build_report(control=control, names=self._peers_to_list())
         await datagrams.send(encode_report(report=answer), address)
 
-    def _hear(self, *, report: PeerReport, address: Address) -> bool:
+    def _apply_report(self, *, report: PeerReport, address: Address) -> bool:
         """Take in a report.
 
         Returns:
--- a/dotterelpaddle/tests/peers/fleet.py
+++ b/dotterelpaddle/tests/peers/fleet.py
@@ -90,7 +90,7 @@
             repeats=knowledge.retry_budget,
             caches=knowledge.caches,
             plan=exchange._plan,
-            word=exchange._word,
+            word=exchange._peer_summary,
             exchange=exchange,
         )
         self.nodes.append(node)
