--- a/dotterelpaddle/forwarding/parts.py
+++ b/dotterelpaddle/forwarding/parts.py
@@ -318,9 +318,9 @@
             view=knowledge.view,
             caches=knowledge.caches,
             directory=knowledge.directory,
-            word=word,
+            peer_summary=word,
             documents=dependencies.documents,
-            cache_lists=CacheDiscovery(
+            cache_discovery=CacheDiscovery(
                 view=knowledge.view,
                 caches=knowledge.caches,
                 peer_summary=word,
--- a/dotterelpaddle/peers/fetching.py
+++ b/dotterelpaddle/peers/fetching.py
@@ -56,9 +56,9 @@
         view: What this router acts on.
         caches: Where parts of prompts are.
         directory: The other routers.
-        word: What they vouch for.
+        peer_summary: What they vouch for.
         documents: Decodes what others hand out.
-        cache_lists: Asks endpoints what they have cached.
+        cache_discovery: Asks endpoints what they have cached.
         platform_age: Tells the seconds since the platform's last word.
         backend: Opens connections.
         clock: Monotonic clock.
@@ -71,9 +71,9 @@
         view: FleetView,
         caches: CacheMap,
         directory: PeerDirectory,
-        word: PeerSummary,
+        peer_summary: PeerSummary,
         documents: DocumentDecoder,
-        cache_lists: CacheDiscovery,
+        cache_discovery: CacheDiscovery,
         platform_age: Callable[[], float],
         backend: LinkedBackend,
         clock: Clock,
@@ -82,11 +82,11 @@
         self._view = view
         self._caches = caches
         self._directory = directory
-        self._word = word
-        self._looks_behind = 0
+        self._peer_summary = peer_summary
+        self._checks_behind = 0
         self._documents = documents
         self._unusable = UnusableEntries()
-        self._cache_lists = cache_lists
+        self._cache_discovery = cache_discovery
         self._platform_age = platform_age
         self._clock = clock
         self._generator = generator
@@ -107,9 +107,9 @@
                     else START_CHECK_INTERVAL_SECONDS
                 )
                 await anyio.sleep(pause * self._generator.uniform(0.8, 1.2))
-                peer = self._better_informed()
+                peer = self._peer_ahead()
                 if peer is None:
-                    await self._cache_lists.discover()
+                    await self._cache_discovery.discover()
                     continue
                 try:
                     await self._fetch(peer=peer)
@@ -120,7 +120,7 @@
                         cause=error.message,
                     )
 
-    def _better_informed(self) -> Peer | None:
+    def _peer_ahead(self) -> Peer | None:
         """The router that knows the most, if it knows more than this one."""
         alive = self._directory.alive
         if not alive:
@@ -131,11 +131,14 @@
         most = max(alive, key=lambda peer: peer.report.parts)
         if most.report.parts and self._lacks_uses:
             return most
-        newest = self._word.peer_ahead
-        self._looks_behind = 0 if newest is None else self._looks_behind + 1
+        newest = self._peer_summary.peer_ahead
+        self._checks_behind = 0 if newest is None else self._checks_behind + 1
         # One that is told of all news by others does not call the platform.
-        at_once = self._view.endpoints_revision is None or self._word.receives_endpoints
-        return newest if at_once or self._looks_behind >= MIN_CHECKS_BEHIND else None
+        at_once = (
+            self._view.endpoints_revision is None
+            or self._peer_summary.receives_endpoints
+        )
+        return newest if at_once or self._checks_behind >= MIN_CHECKS_BEHIND else None
 
     @property
     def _lacks_uses(self) -> bool:
@@ -145,7 +148,7 @@
         for each of hundreds of routers that start at once would take one that hands
         them out over a small link half a minute.
         """
-        return not self._caches.is_populated and not self._word.is_large_fleet
+        return not self._caches.is_populated and not self._peer_summary.is_large_fleet
 
     async def _fetch(self, *, peer: Peer) -> None:
         """Fetch what another router knows.
