--- a/dotterelpaddle/peers/messages.py
+++ b/dotterelpaddle/peers/messages.py
@@ -235,8 +235,8 @@
         if fields[0] != FORMAT_VERSION:
             raise ControlError(f"a report of format {fields[0]!r}, not {FORMAT}")
         uses = fields[16]
-        starts = _later_field(fields, INCARNATIONS_INDEX, ())
-        reading = _later_field(fields, QUEUED_TOKENS_INDEX, {})
+        starts = _optional_field(fields, INCARNATIONS_INDEX, ())
+        reading = _optional_field(fields, QUEUED_TOKENS_INDEX, {})
         endpoints = decode_endpoints(
             names=[*fields[12][2], *reading, *(name for _, name in uses)],
             starts=starts,
@@ -256,7 +256,7 @@
             share=_share(
                 fields[12],
                 reading,
-                endpoints if starts else _known(endpoints, start_of),
+                endpoints if starts else _resolve(endpoints, start_of),
             ),
             ask=ReplyRequest(fields[13]),
             routers=int(fields[14]),
@@ -265,20 +265,20 @@
             parts=int(fields[17]),
             peers=tuple(_peer(peer) for peer in fields[18]),
             owners=tuple(
-                _peer(owner) for owner in _later_field(fields, OWNERS_INDEX, ())
+                _peer(owner) for owner in _optional_field(fields, OWNERS_INDEX, ())
             ),
-            leaving=bool(_later_field(fields, LEAVING_INDEX, False)),
-            crashes=decode_notes(fields=_later_field(fields, CRASHES_INDEX, ())),
+            leaving=bool(_optional_field(fields, LEAVING_INDEX, False)),
+            crashes=decode_notes(fields=_optional_field(fields, CRASHES_INDEX, ())),
             leaving_endpoints=tuple(
-                _leaving(note)
-                for note in _later_field(fields, LEAVING_ENDPOINTS_INDEX, ())
+                _leaving_note(note)
+                for note in _optional_field(fields, LEAVING_ENDPOINTS_INDEX, ())
             ),
             silent_owners=tuple(
                 RouterId(str(router))
-                for router in _later_field(fields, SILENT_OWNERS_INDEX, ())
+                for router in _optional_field(fields, SILENT_OWNERS_INDEX, ())
             ),
-            platform_lost=bool(_later_field(fields, PLATFORM_LOST_INDEX, False)),
-            evacuated=_evacuated(_later_field(fields, EVACUATED_INDEX, None)),
+            platform_lost=bool(_optional_field(fields, PLATFORM_LOST_INDEX, False)),
+            evacuated=_evacuated(_optional_field(fields, EVACUATED_INDEX, None)),
         )
     except (
         orjson.JSONDecodeError,
@@ -291,7 +291,7 @@
         raise ControlError(f"a datagram that is no report: {error!r}") from error
 
 
-def _known(
+def _resolve(
     endpoints: Mapping[str, EndpointId], start_of: Callable[[EndpointName], EndpointId]
 ) -> Mapping[str, EndpointId]:
     return {name: start_of(EndpointName(name)) for name in endpoints}
@@ -317,9 +317,9 @@
     )
 
 
-def _later_field(fields: list[Any], place: int, default: Any) -> Any:
+def _optional_field(fields: list[Any], index: int, default: Any) -> Any:
     """Return a field that came with a later release, or what it is without it."""
-    return fields[place] if len(fields) > place else default
+    return fields[index] if len(fields) > index else default
 
 
 def _evacuated_fields(evacuated: EvacuationSnapshot | None) -> list[Any] | None:
@@ -338,7 +338,7 @@
     )
 
 
-def _leaving(fields: Any) -> LeavingNotice:
+def _leaving_note(fields: Any) -> LeavingNotice:
     endpoint, age = fields
     return LeavingNotice(
         endpoint=EndpointId(str(endpoint)), age=max(0, int(age)) / 1000
