--- a/dotterelpaddle/peers/plan.py
+++ b/dotterelpaddle/peers/plan.py
@@ -71,7 +71,7 @@
             self._shares.is_aggregator = True
             self._directory.update_liveness()
             heard = [Recipient(address=each.address) for each in self._directory.alive]
-            return heard + _asking_for_answers(self._directory.unreached_targets())
+            return heard + _probes(self._directory.unreached_targets())
         return self._aggregated_recipients()
 
     def _aggregated_recipients(self) -> list[Recipient]:
@@ -92,7 +92,9 @@
             for name in aggregators
             if name != own
         ]
-        recipients = asked + self._members(without={each.router for each in asked})
+        recipients = asked + self._requesting_members(
+            without={each.router for each in asked}
+        )
         if self._shares.is_aggregator:
             recipients += self._other_domains()
         if own in aggregators:
@@ -104,9 +106,9 @@
                 if each.router is not None and each.scope is not TotalsScope.OTHERS
             )
         )
-        return recipients + _asking_for_answers(directory.unresponsive_targets())
+        return recipients + _probes(directory.unresponsive_targets())
 
-    def _members(self, *, without: set[RouterId | None]) -> list[Recipient]:
+    def _requesting_members(self, *, without: set[RouterId | None]) -> list[Recipient]:
         """Routers of the own failure domain that asked to be told of all others."""
         asking = self._shares.aggregation_requesters - without
         return [
@@ -132,7 +134,7 @@
         ]
 
 
-def _asking_for_answers(addresses: list[Address]) -> list[Recipient]:
+def _probes(addresses: list[Address]) -> list[Recipient]:
     return [
         Recipient(address=address, reply_request=ReplyRequest.ANSWER)
         for address in addresses
