--- a/dotterelpaddle/peers/messages.py
+++ b/dotterelpaddle/peers/messages.py
@@ -239,7 +239,7 @@
         reading = _optional_field(fields, QUEUED_TOKENS_INDEX, {})
         endpoints = decode_endpoints(
             names=[*fields[12][2], *reading, *(name for _, name in uses)],
-            starts=starts,
+            incarnations=starts,
         )
         return PeerReport(
             router=RouterId(str(fields[1])),
--- a/dotterelpaddle/peers/snapshot.py
+++ b/dotterelpaddle/peers/snapshot.py
@@ -166,7 +166,7 @@
         fields = orjson.loads(_decompress(content))
         endpoints, uses = fields["endpoints"], fields["uses"]
         names = decode_endpoints(
-            names=[name for _, name in uses], starts=fields.get("starts", ())
+            names=[name for _, name in uses], incarnations=fields.get("starts", ())
         )
         return Snapshot(
             endpoints=(
--- a/dotterelpaddle/peers/starts.py
+++ b/dotterelpaddle/peers/starts.py
@@ -30,39 +30,39 @@
     """
 
     def __init__(self, *, endpoints: Iterable[EndpointId]) -> None:
-        self._starts: dict[EndpointName, Incarnation] = {}
+        self._incarnations: dict[EndpointName, Incarnation] = {}
         for endpoint in endpoints:
             name, incarnation = split_endpoint_id(endpoint=endpoint)
-            known = self._starts.get(name, UNKNOWN_INCARNATION)
-            self._starts[name] = max(known, incarnation)
+            known = self._incarnations.get(name, UNKNOWN_INCARNATION)
+            self._incarnations[name] = max(known, incarnation)
 
     @property
     def encoded(self) -> list[int]:
         """Starts in the order of the names; empty if no endpoint tells its start."""
-        if not any(self._starts.values()):
+        if not any(self._incarnations.values()):
             return []
-        return [self._starts[name] for name in sorted(self._starts)]
+        return [self._incarnations[name] for name in sorted(self._incarnations)]
 
     def name(self, *, endpoint: EndpointId) -> EndpointName | None:
         """Name to tell an endpoint by, None for an earlier start of it."""
         name, incarnation = split_endpoint_id(endpoint=endpoint)
-        return name if incarnation == self._starts[name] else None
+        return name if incarnation == self._incarnations[name] else None
 
 
 def decode_endpoints(
-    *, names: Iterable[str], starts: Sequence[int]
+    *, names: Iterable[str], incarnations: Sequence[int]
 ) -> dict[str, EndpointId]:
     """Return the endpoints that a message tells of, by their names in it.
 
     Args:
         names: All names in it.
-        starts: Its list of starts, empty from a router that knows of none.
+        incarnations: Its list of starts, empty from a router that knows of none.
 
     Raises:
         ValueError: If there are starts, but not one for each name.
     """
     distinct = sorted(set(names))
-    told = starts or [UNKNOWN_INCARNATION] * len(distinct)
+    told = incarnations or [UNKNOWN_INCARNATION] * len(distinct)
     return {
         name: endpoint_id(name=EndpointName(name), incarnation=Incarnation(int(start)))
         for name, start in zip(distinct, told, strict=True)
