--- a/dotterelpaddle/forwarding/parts.py
+++ b/dotterelpaddle/forwarding/parts.py
@@ -229,7 +229,7 @@
     )
     owners = OwnerExchange(
         directory=directory,
-        requests=requests,
+        reporter=requests,
         owner=Owner(
             router=settings.router,
             view=knowledge.view,
--- a/dotterelpaddle/owners/asking.py
+++ b/dotterelpaddle/owners/asking.py
@@ -51,7 +51,7 @@
 
     Args:
         directory: Tells who owns what.
-        requests: This router's requests in flight.
+        reporter: This router's requests in flight.
         owner: Answers the questions of others.
         clock: Monotonic clock.
     """
@@ -60,25 +60,27 @@
         self,
         *,
         directory: PeerDirectory,
-        requests: InFlightReporter,
+        reporter: InFlightReporter,
         owner: Owner,
         clock: Clock,
     ) -> None:
         self._directory = directory
-        self._requests = requests
+        self._reporter = reporter
         self._owner = owner
         self._clock = clock
         self._datagrams: DatagramSocket | None = None
-        self._silent_until: dict[RouterId, float] = {}
+        self._cooldown_until: dict[RouterId, float] = {}
 
     @property
     def unresponsive(self) -> tuple[RouterId, ...]:
         """Owners that have just not answered in time."""
         now = self._clock()
-        self._silent_until = {
-            router: until for router, until in self._silent_until.items() if until > now
+        self._cooldown_until = {
+            router: until
+            for router, until in self._cooldown_until.items()
+            if until > now
         }
-        return tuple(self._silent_until)
+        return tuple(self._cooldown_until)
 
     async def run(self, datagrams: DatagramSocket) -> None:
         """Tell owners what is in flight until cancelled.
@@ -89,22 +91,22 @@
         self._datagrams = datagrams
         while True:
             if not self._directory.owners():
-                self._requests.take_due_domains()
+                self._reporter.take_due_domains()
                 await anyio.sleep(REPORT_INTERVAL_SECONDS)
                 continue
             with anyio.move_on_after(REPORT_INTERVAL_SECONDS / 2):
-                await self._requests.wait_for_change()
+                await self._reporter.wait_for_change()
                 await anyio.sleep(REPORT_BATCH_SECONDS)
-            await self._tell(self._requests.take_due_domains())
+            await self._send_reports(self._reporter.take_due_domains())
 
     async def request_grant(
-        self, *, domain: FailureDomain, wanted: PlacementQuery
+        self, *, domain: FailureDomain, query: PlacementQuery
     ) -> PendingGrant | None:
         """Ask for an endpoint: the owner of a failure domain, or who stands in for it.
 
         Args:
             domain: The failure domain.
-            wanted: What the endpoint is wanted for.
+            query: What the endpoint is wanted for.
 
         Returns:
             The question with its answer, None if none came in time. The request must
@@ -112,36 +114,38 @@
             given up.
         """
         for owner in failover_order(domain=domain, owners=self._directory.owners()):
-            if self._is_silent(owner):
+            if self._is_cooling_down(owner):
                 continue
-            answered = await self._ask_one(owner=owner, domain=domain, wanted=wanted)
+            answered = await self._request_grant_from(
+                owner=owner, domain=domain, query=query
+            )
             if answered is not None:
                 return answered
         return None
 
-    async def _ask_one(
-        self, *, owner: PeerInfo, domain: FailureDomain, wanted: PlacementQuery
+    async def _request_grant_from(
+        self, *, owner: PeerInfo, domain: FailureDomain, query: PlacementQuery
     ) -> PendingGrant | None:
-        asked = self._requests.open_request(owner=owner.router)
+        asked = self._reporter.open_request(owner=owner.router)
         try:
             question = GrantRequest(
                 number=asked.number,
-                report=self._requests.build_report(domain=domain),
-                query=wanted,
+                report=self._reporter.build_report(domain=domain),
+                query=query,
             )
             if owner.router == self._directory.own.router:
-                self._requests.resolve(grant=self._owner.decide(question=question))
+                self._reporter.resolve(grant=self._owner.decide(question=question))
                 return asked
             await self._send(encode(message=question), owner.address)
             with anyio.move_on_after(OWNER_TIMEOUT_SECONDS):
                 await asked.answered.wait()
         except BaseException:
-            self._requests.abandon(question=asked)
+            self._reporter.abandon(question=asked)
             raise
         if asked.grant is not None:
             return asked
-        self._requests.abandon(question=asked)
-        self._silent_until[owner.router] = self._clock() + OWNER_COOLDOWN_SECONDS
+        self._reporter.abandon(question=asked)
+        self._cooldown_until[owner.router] = self._clock() + OWNER_COOLDOWN_SECONDS
         log.warning("owner_silent", router=owner.router, seconds=OWNER_TIMEOUT_SECONDS)
         return None
 
@@ -157,27 +161,27 @@
                 grant = self._owner.decide(question=message)
                 await self._send(encode(message=grant), address)
             case Grant():
-                self._requests.resolve(grant=message)
+                self._reporter.resolve(grant=message)
             case InFlightReport():
                 self._owner.record_report(held=message)
 
-    def _is_silent(self, owner: PeerInfo) -> bool:
-        return self._clock() < self._silent_until.get(owner.router, 0.0)
+    def _is_cooling_down(self, owner: PeerInfo) -> bool:
+        return self._clock() < self._cooldown_until.get(owner.router, 0.0)
 
-    async def _tell(self, domains: set[FailureDomain]) -> None:
+    async def _send_reports(self, domains: set[FailureDomain]) -> None:
         told = {self._directory.own.router}
         for domain in sorted(domains):
-            held = self._requests.build_report(domain=domain)
-            for owner in self._counting(domain=domain):
+            held = self._reporter.build_report(domain=domain)
+            for owner in self._counting_owners(domain=domain):
                 if owner.router not in told:
                     told.add(owner.router)
                     await self._send(encode(message=held), owner.address)
 
-    def _counting(self, *, domain: FailureDomain) -> Iterator[PeerInfo]:
+    def _counting_owners(self, *, domain: FailureDomain) -> Iterator[PeerInfo]:
         """Those that count for a failure domain: a silent owner may answer others."""
         for owner in failover_order(domain=domain, owners=self._directory.owners()):
             yield owner
-            if not self._is_silent(owner):
+            if not self._is_cooling_down(owner):
                 return
 
     async def _send(self, message: bytes, target: Address) -> None:
--- a/dotterelpaddle/owners/placing.py
+++ b/dotterelpaddle/owners/placing.py
@@ -136,7 +136,7 @@
                 return LocalChoiceReason.NO_OWNER
             answered = await self._exchange.request_grant(
                 domain=domain,
-                wanted=PlacementQuery(
+                query=PlacementQuery(
                     service=service,
                     shard=shard,
                     model=request.model,
--- a/dotterelpaddle/tests/owners/test_routers.py
+++ b/dotterelpaddle/tests/owners/test_routers.py
@@ -99,7 +99,7 @@
         heard = await _start(fleet)
         heard.answers = False
         first = await fleet.call("/unsafe/", router=ASKING)
-        asked = fleet.routers[ASKING].parts.owners._silent_until
+        asked = fleet.routers[ASKING].parts.owners._cooldown_until
         second = await fleet.call("/unsafe/", router=ASKING)
 
     assert (first.status, second.status) == (200, 200)
