--- a/dotterelpaddle/owners/counts.py
+++ b/dotterelpaddle/owners/counts.py
@@ -26,7 +26,7 @@
 
 
 @dataclass(kw_only=True, slots=True)
-class _Router:
+class _RouterState:
     """What one router has in flight.
 
     Attributes:
@@ -49,46 +49,46 @@
 
     def __init__(self, *, clock: Clock) -> None:
         self._clock = clock
-        self._routers: dict[RouterId, _Router] = {}
+        self._routers: dict[RouterId, _RouterState] = {}
         self._loads: Counter[EndpointId] = Counter()
-        self._began_at: float | None = None
+        self._started_at: float | None = None
 
     @property
     def warmed_up(self) -> bool:
         """Whether all routers had the time to tell what they have in flight."""
-        return self._began_at is not None and (
-            self._clock() - self._began_at >= REPORT_TTL_SECONDS
+        return self._started_at is not None and (
+            self._clock() - self._started_at >= REPORT_TTL_SECONDS
         )
 
     @property
     def loads(self) -> Mapping[EndpointId, int]:
         """Requests in flight by endpoint, those of the counting router left out."""
-        self._forget_silent()
+        self._expire_routers()
         return self._loads
 
-    def record_report(self, *, held: InFlightReport) -> None:
+    def record_report(self, *, report: InFlightReport) -> None:
         """Take in what a router tells."""
         now = self._clock()
-        self._note_use(now)
-        known = self._routers.get(held.router)
+        self._start_if_idle(now)
+        known = self._routers.get(report.router)
         if known is None:
-            self._routers[held.router] = _Router(report=held, received_at=now)
-            self._add(held.loads, 1)
+            self._routers[report.router] = _RouterState(report=report, received_at=now)
+            self._add(report.loads, 1)
             return
-        same = known.report.incarnation == held.incarnation
-        if same and held.sequence <= known.report.sequence:
+        same = known.report.incarnation == report.incarnation
+        if same and report.sequence <= known.report.sequence:
             return
         self._add(known.report.loads, -1)
-        self._add(held.loads, 1)
-        known.report, known.received_at = held, now
-        for number in [each for each in known.granted if each not in held.pending]:
-            self._change(known.granted.pop(number), -1)
+        self._add(report.loads, 1)
+        known.report, known.received_at = report, now
+        for number in [each for each in known.granted if each not in report.pending]:
+            self._adjust(known.granted.pop(number), -1)
 
     def record_grant(
-        self, *, held: InFlightReport, number: int, endpoint: EndpointId
+        self, *, report: InFlightReport, number: int, endpoint: EndpointId
     ) -> None:
         """Count a request that was granted to a router which asked just now."""
-        known = self._routers.get(held.router)
+        known = self._routers.get(report.router)
         # A later message may have overtaken the question and given it up.
         if (
             known is None
@@ -97,31 +97,31 @@
         ):
             return
         known.granted[number] = endpoint
-        self._change(endpoint, 1)
+        self._adjust(endpoint, 1)
 
-    def _note_use(self, now: float) -> None:
+    def _start_if_idle(self, now: float) -> None:
         """Notice when this router takes the part of an owner, also once more."""
         idle = all(
             now - each.received_at > REPORT_TTL_SECONDS
             for each in self._routers.values()
         )
         if idle:
-            self._began_at = now
+            self._started_at = now
 
-    def _forget_silent(self) -> None:
+    def _expire_routers(self) -> None:
         oldest = self._clock() - REPORT_TTL_SECONDS
         for router, known in tuple(self._routers.items()):
             if known.received_at < oldest:
                 del self._routers[router]
                 self._add(known.report.loads, -1)
                 for endpoint in known.granted.values():
-                    self._change(endpoint, -1)
+                    self._adjust(endpoint, -1)
 
     def _add(self, loads: Mapping[EndpointId, int], sign: int) -> None:
         for endpoint, load in loads.items():
-            self._change(endpoint, sign * load)
+            self._adjust(endpoint, sign * load)
 
-    def _change(self, endpoint: EndpointId, load: int) -> None:
+    def _adjust(self, endpoint: EndpointId, load: int) -> None:
         count = self._loads[endpoint] + load
         if count:
             self._loads[endpoint] = count
--- a/dotterelpaddle/owners/owner.py
+++ b/dotterelpaddle/owners/owner.py
@@ -67,7 +67,7 @@
     def record_report(self, *, held: InFlightReport) -> None:
         """Take in what a router has in flight; its own this one knows."""
         if held.router != self._router:
-            self._counts.record_report(held=held)
+            self._counts.record_report(report=held)
 
     def decide(self, *, question: GrantRequest) -> Grant:
         """Decide where a request goes, and count it there."""
@@ -94,7 +94,7 @@
             return Grant(number=question.number, fetch_from=holder)
         endpoint = choice.entry.endpoint
         self._counts.record_grant(
-            held=question.report, number=question.number, endpoint=endpoint
+            report=question.report, number=question.number, endpoint=endpoint
         )
         source = choice.fetch_from
         return Grant(
