--- a/dotterelpaddle/owners/messages.py
+++ b/dotterelpaddle/owners/messages.py
@@ -126,7 +126,7 @@
                 [
                     GRANT_REQUEST_KIND,
                     number,
-                    _held_fields(held),
+                    _encode_report(held),
                     wanted.service,
                     wanted.shard,
                     wanted.model,
@@ -152,7 +152,7 @@
                 ]
             )
         case InFlightReport():
-            return orjson.dumps([REPORT_KIND, _held_fields(message)])
+            return orjson.dumps([REPORT_KIND, _encode_report(message)])
 
 
 def decode(*, datagram: bytes) -> Message:
@@ -165,11 +165,11 @@
         fields = orjson.loads(datagram)
         match fields[0]:
             case "question":
-                return _question(fields)
+                return _decode_grant_request(fields)
             case "grant":
-                return _grant(fields)
+                return _decode_grant(fields)
             case "held":
-                return _held(fields[1])
+                return _decode_report(fields[1])
     except (
         orjson.JSONDecodeError,
         AttributeError,
@@ -181,13 +181,15 @@
     raise ControlError(f"a message of unknown kind {fields[0]!r}")
 
 
-def _question(fields: Any) -> GrantRequest:
+def _decode_grant_request(fields: Any) -> GrantRequest:
     return GrantRequest(
-        number=int(fields[1]), report=_held(fields[2]), query=_wanted(fields[3:])
+        number=int(fields[1]),
+        report=_decode_report(fields[2]),
+        query=_decode_query(fields[3:]),
     )
 
 
-def _wanted(fields: Any) -> PlacementQuery:
+def _decode_query(fields: Any) -> PlacementQuery:
     service, shard, model, prompt, repeatable, excluded, must, cached_at = fields
     return PlacementQuery(
         service=ServiceName(str(service)),
@@ -199,16 +201,16 @@
         repeatable=bool(repeatable),
         excluded=frozenset(EndpointId(str(each)) for each in excluded),
         ignore_bound=bool(must),
-        cached_at=_endpoint(cached_at),
+        cached_at=_decode_endpoint(cached_at),
     )
 
 
-def _grant(fields: Any) -> Grant:
+def _decode_grant(fields: Any) -> Grant:
     _, number, endpoint, source, reason, load, mean_load, missing, work = fields
     return Grant(
         number=int(number),
-        endpoint=_endpoint(endpoint),
-        fetch_from=_endpoint(source),
+        endpoint=_decode_endpoint(endpoint),
+        fetch_from=_decode_endpoint(source),
         reason=ChoiceReason(reason),
         load=int(load),
         mean_load=float(mean_load),
@@ -217,21 +219,21 @@
     )
 
 
-def _endpoint(field: Any) -> EndpointId | None:
-    return None if field is None else EndpointId(str(field))
+def _decode_endpoint(value: Any) -> EndpointId | None:
+    return None if value is None else EndpointId(str(value))
 
 
-def _held_fields(held: InFlightReport) -> list[Any]:
+def _encode_report(report: InFlightReport) -> list[Any]:
     return [
-        held.router,
-        held.incarnation,
-        held.sequence,
-        dict(held.loads),
-        sorted(held.pending),
+        report.router,
+        report.incarnation,
+        report.sequence,
+        dict(report.loads),
+        sorted(report.pending),
     ]
 
 
-def _held(fields: Any) -> InFlightReport:
+def _decode_report(fields: Any) -> InFlightReport:
     router, incarnation, sequence, loads, numbers = fields
     return InFlightReport(
         router=RouterId(str(router)),
