--- a/dotterelpaddle/owners/asking.py
+++ b/dotterelpaddle/owners/asking.py
@@ -134,7 +134,7 @@
                 query=query,
             )
             if owner.router == self._directory.own.router:
-                self._reporter.resolve(grant=self._owner.decide(question=question))
+                self._reporter.resolve(grant=self._owner.decide(request=question))
                 return asked
             await self._send(encode(message=question), owner.address)
             with anyio.move_on_after(OWNER_TIMEOUT_SECONDS):
@@ -158,12 +158,12 @@
             return
         match message:
             case GrantRequest():
-                grant = self._owner.decide(question=message)
+                grant = self._owner.decide(request=message)
                 await self._send(encode(message=grant), address)
             case Grant():
                 self._reporter.resolve(grant=message)
             case InFlightReport():
-                self._owner.record_report(held=message)
+                self._owner.record_report(report=message)
 
     def _is_cooling_down(self, owner: PeerInfo) -> bool:
         return self._clock() < self._cooldown_until.get(owner.router, 0.0)
--- a/dotterelpaddle/owners/owner.py
+++ b/dotterelpaddle/owners/owner.py
@@ -64,15 +64,15 @@
         self._loads = loads
         self._counts = counts
 
-    def record_report(self, *, held: InFlightReport) -> None:
+    def record_report(self, *, report: InFlightReport) -> None:
         """Take in what a router has in flight; its own this one knows."""
-        if held.router != self._router:
-            self._counts.record_report(report=held)
+        if report.router != self._router:
+            self._counts.record_report(report=report)
 
-    def decide(self, *, question: GrantRequest) -> Grant:
+    def decide(self, *, request: GrantRequest) -> Grant:
         """Decide where a request goes, and count it there."""
-        self.record_report(held=question.report)
-        wanted = question.query
+        self.record_report(report=request.report)
+        wanted = request.query
         try:
             choice = self._placer.choose_in_shard(
                 service=wanted.service,
@@ -80,25 +80,23 @@
                 request=wanted,
                 retryable=wanted.repeatable,
                 excluded=wanted.excluded,
-                loads=self._current_loads(wanted=wanted),
+                loads=self._current_loads(query=wanted),
                 ignore_bound=wanted.ignore_bound,
                 cached_at=wanted.cached_at,
             )
         except NoEndpoint as error:
-            log.info(
-                "grant_refused", router=question.report.router, cause=error.message
-            )
-            return Grant(number=question.number)
+            log.info("grant_refused", router=request.report.router, cause=error.message)
+            return Grant(number=request.number)
         if choice is None:
             holder = self._placer.cache_holder(service=wanted.service, request=wanted)
-            return Grant(number=question.number, fetch_from=holder)
+            return Grant(number=request.number, fetch_from=holder)
         endpoint = choice.entry.endpoint
         self._counts.record_grant(
-            report=question.report, number=question.number, endpoint=endpoint
+            report=request.report, number=request.number, endpoint=endpoint
         )
         source = choice.fetch_from
         return Grant(
-            number=question.number,
+            number=request.number,
             endpoint=endpoint,
             fetch_from=source.endpoint if source is not None else None,
             reason=choice.reason,
@@ -108,7 +106,7 @@
             work=choice.work_tokens,
         )
 
-    def _current_loads(self, *, wanted: PlacementQuery) -> Counter[EndpointId]:
+    def _current_loads(self, *, query: PlacementQuery) -> Counter[EndpointId]:
         """Counts of the shard as routers tell them here, of the others by reports.
 
         Reports are a few tenths of a second old. The greater count goes while some
@@ -119,7 +117,7 @@
         counted = self._counts.loads
         settled = self._counts.warmed_up
         for entry in shard_entries(
-            entries=self._view.ready(service=wanted.service), shard=wanted.shard
+            entries=self._view.ready(service=query.service), shard=query.shard
         ):
             endpoint = entry.endpoint
             load = counted.get(endpoint, 0) + self._loads.own.get(endpoint, 0)
--- a/dotterelpaddle/tests/owners/test_counts.py
+++ b/dotterelpaddle/tests/owners/test_counts.py
@@ -72,10 +72,10 @@
             del self.to_owner[place]
         message = decode(datagram=datagram)
         if isinstance(message, GrantRequest):
-            grant = self.world.owner.decide(question=message)
+            grant = self.world.owner.decide(request=message)
             self.to_router.append((index, encode(message=grant)))
         elif isinstance(message, InFlightReport):
-            self.world.owner.record_report(held=message)
+            self.world.owner.record_report(report=message)
 
     @rule(place=st.integers(min_value=0))
     def deliver_to_router(self, place: int) -> None:
@@ -114,7 +114,7 @@
         for key in list(self.open):
             self.routers[key[0]].requests.abandon(question=self.open.pop(key))
         for router in self.routers:
-            self.world.owner.record_report(held=decode_held(router))
+            self.world.owner.record_report(report=decode_held(router))
         assert Counter(self.world.counts.loads) == total(self.routers)
 
 
@@ -132,10 +132,10 @@
     world = World()
     router = AskingRouter(name="router", world=world)
     asked, question = router.question()
-    grant = world.owner.decide(question=question)
+    grant = world.owner.decide(request=question)
     before = Counter(world.counts.loads)
     router.take_in(asked=asked, grant=grant)
-    world.owner.record_report(held=router.held())
+    world.owner.record_report(report=router.held())
 
     assert before == Counter(world.counts.loads) == Counter([grant.endpoint])
 
@@ -144,8 +144,8 @@
     world = World()
     router = AskingRouter(name="router", world=world)
     _, question = router.question()
-    world.owner.decide(question=question)
-    world.owner.decide(question=question)
+    world.owner.decide(request=question)
+    world.owner.decide(request=question)
 
     assert sum(world.counts.loads.values()) == 1
 
@@ -153,9 +153,9 @@
 def test_counts_settle_after_all_had_time_to_tell() -> None:
     world = World()
     router = AskingRouter(name="router", world=world)
-    world.owner.record_report(held=router.held())
+    world.owner.record_report(report=router.held())
     world.now += REPORT_INTERVAL_SECONDS
-    world.owner.record_report(held=router.held())
+    world.owner.record_report(report=router.held())
     soon = world.counts.warmed_up
     world.now += REPORT_TTL_SECONDS
     later = world.counts.warmed_up
@@ -168,7 +168,7 @@
     router = AskingRouter(name="router", world=world)
     early = router.held()
     router.begin(endpoint=world.endpoints[0])
-    world.owner.record_report(held=router.held())
-    world.owner.record_report(held=early)
+    world.owner.record_report(report=router.held())
+    world.owner.record_report(report=early)
 
     assert Counter(world.counts.loads) == Counter([world.endpoints[0]])
--- a/dotterelpaddle/tests/owners/test_owner.py
+++ b/dotterelpaddle/tests/owners/test_owner.py
@@ -37,13 +37,13 @@
     until = world.now + REPORT_TTL_SECONDS
     while world.now < until:
         for router in routers:
-            world.owner.record_report(held=router.held())
+            world.owner.record_report(report=router.held())
         world.now += REPORT_INTERVAL_SECONDS
 
 
 def _ask(world: World, router: AskingRouter, *, must: bool = True) -> str | None:
     asked, question = router.question(must=must)
-    return router.take_in(asked=asked, grant=world.owner.decide(question=question))
+    return router.take_in(asked=asked, grant=world.owner.decide(request=question))
 
 
 def test_burst_at_many_routers_overloads_no_endpoint() -> None:
@@ -63,7 +63,7 @@
     routers = _routers(world, 8)
     _settle(world, routers)
     questions = [router.question() for router in routers]
-    grants = [world.owner.decide(question=question) for _, question in questions]
+    grants = [world.owner.decide(request=question) for _, question in questions]
 
     read = [grant for grant in grants if grant.missing and grant.fetch_from is None]
     assert len(read) == 1
@@ -84,10 +84,10 @@
             last.begin(endpoint=endpoint)
     for _ in range(5):
         last.begin(endpoint=world.endpoints[0])
-    world.owner.record_report(held=last.held())
+    world.owner.record_report(report=last.held())
 
     asked, question = last.question(must=True)
-    granted = world.owner.decide(question=question)
+    granted = world.owner.decide(request=question)
     assert granted.endpoint not in (None, world.endpoints[0])
 
 
@@ -95,7 +95,7 @@
     world = World(endpoints=2)
     (router,) = _routers(world, 1)
     _, question = router.question(excluded=frozenset({world.endpoints[0]}))
-    grant = world.owner.decide(question=question)
+    grant = world.owner.decide(request=question)
     assert grant.endpoint == world.endpoints[1]
 
 
@@ -108,7 +108,7 @@
         _ask(world, router)
     world.restart_owner()
     for router in routers[:6]:
-        world.owner.record_report(held=router.held())
+        world.owner.record_report(report=router.held())
     assert not world.counts.warmed_up
     _settle(world, routers)
     assert world.counts.warmed_up
@@ -124,7 +124,7 @@
     _settle(world, routers)
     asked, question = routers[0].question(shard=THERE)
     endpoint = routers[0].take_in(
-        asked=asked, grant=world.owner.decide(question=question)
+        asked=asked, grant=world.owner.decide(request=question)
     )
 
     assert endpoint in world.others[1:]
@@ -139,7 +139,7 @@
     world.shares.receive(router=RouterId("far"), failure_domain=THERE, totals=told)
     _, question = routers[0].question(shard=THERE)
 
-    assert world.owner.decide(question=question).endpoint == world.others[3]
+    assert world.owner.decide(request=question).endpoint == world.others[3]
 
 
 def test_requests_of_a_router_that_ended_are_forgotten() -> None:
@@ -163,7 +163,7 @@
     _settle(world, routers)
     for router in routers:
         asked, question = router.question(request=make_request(), must=True)
-        router.take_in(asked=asked, grant=world.owner.decide(question=question))
+        router.take_in(asked=asked, grant=world.owner.decide(request=question))
     assert set(total(routers).values()) == {10}
 
 
@@ -194,9 +194,9 @@
         )
     )
     _, question = router.question(must=False)
-    refusal = first.owner.decide(question=question)
+    refusal = first.owner.decide(request=question)
     _, question = router.question(must=True, cached_at=refusal.fetch_from)
-    grant = second.owner.decide(question=question)
+    grant = second.owner.decide(request=question)
 
     assert refusal.endpoint is None
     assert refusal.fetch_from == holder
--- a/dotterelpaddle/tests/owners/test_telling.py
+++ b/dotterelpaddle/tests/owners/test_telling.py
@@ -39,7 +39,7 @@
 def test_owner_that_granted_a_request_need_not_be_told_of_it_at_once() -> None:
     world, router = _router()
     asked, question = router.question()
-    router.take_in(asked=asked, grant=world.owner.decide(question=question))
+    router.take_in(asked=asked, grant=world.owner.decide(request=question))
 
     assert router.requests.take_due_domains() == set()
 
@@ -47,7 +47,7 @@
 def test_end_of_a_request_is_told_at_once() -> None:
     world, router = _router()
     asked, question = router.question()
-    router.take_in(asked=asked, grant=world.owner.decide(question=question))
+    router.take_in(asked=asked, grant=world.owner.decide(request=question))
     router.end(0)
 
     assert router.requests.take_due_domains() == {HERE}
