--- a/dotterelpaddle/forwarding/parts.py
+++ b/dotterelpaddle/forwarding/parts.py
@@ -247,7 +247,7 @@
         shards=shards,
         directory=directory,
         exchange=owners,
-        requests=requests,
+        reporter=requests,
     )
     attempts = AttemptRunner(
         placer=owners_placer,
--- a/dotterelpaddle/owners/placing.py
+++ b/dotterelpaddle/owners/placing.py
@@ -43,7 +43,7 @@
         shards: The shards of all services.
         directory: Tells who owns what.
         exchange: Asks owners.
-        requests: Counts what they granted.
+        reporter: Counts what they granted.
     """
 
     def __init__(
@@ -54,14 +54,14 @@
         shards: ShardMap,
         directory: PeerDirectory,
         exchange: OwnerExchange,
-        requests: InFlightReporter,
+        reporter: InFlightReporter,
     ) -> None:
         self._view = view
         self._placer = placer
         self._shards = shards
         self._directory = directory
         self._exchange = exchange
-        self._requests = requests
+        self._reporter = reporter
 
     async def choose(
         self,
@@ -127,7 +127,7 @@
         ranked = ranked_shards(
             shards=self._shards.shards(service=service),
             entries=usable,
-            key=_key(service=service, request=request),
+            key=_shard_key(service=service, request=request),
         )[:MAX_SHARDS_ASKED]
         cached_at: EndpointId | None = None
         for shard in ranked:
@@ -151,10 +151,10 @@
                 return LocalChoiceReason.OWNER_SILENT
             grant = answered.grant
             if grant.endpoint in names:
-                return self._choice(
+                return self._build_choice(
                     grant=grant, owner=answered.owner, usable=usable, request=request
                 )
-            self._requests.abandon(question=answered)
+            self._reporter.abandon(question=answered)
             cached_at = grant.fetch_from
         return LocalChoiceReason.NOTHING_GRANTED
 
@@ -164,7 +164,7 @@
         entry = shard_entries(entries=entries, shard=shard)[0]
         return self._shards.owning_domain(endpoint=entry.endpoint)
 
-    def _choice(
+    def _build_choice(
         self,
         *,
         grant: Grant,
@@ -197,7 +197,7 @@
         return self._placer.record_choice(choice=choice, request=request)
 
 
-def _key(*, service: ServiceName, request: HasPrompt) -> int:
+def _shard_key(*, service: ServiceName, request: HasPrompt) -> int:
     """What decides the shard: the deepest part of the prompt that others share."""
     parts = shared_parts(request=request)
     if parts:
