--- a/dotterelpaddle/owners/shards.py
+++ b/dotterelpaddle/owners/shards.py
@@ -18,7 +18,7 @@
 """Endpoints of a service in each failure domain from which each domain has a shard of
 its own: with fewer there is little to choose from, and one owner counts them all."""
 
-_SCALE = 2.0**-64
+_DIGEST_SCALE = 2.0**-64
 
 
 def split_into_shards(
@@ -74,7 +74,7 @@
 
 
 def _score(shard: FailureDomain | None, weight: int, key: int) -> float:
-    share = (digest(text=f"{key}/{shard}") + 0.5) * _SCALE
+    share = (digest(text=f"{key}/{shard}") + 0.5) * _DIGEST_SCALE
     return -weight / math.log(share)
 
 
@@ -87,9 +87,9 @@
 
     def __init__(self, *, view: FleetView) -> None:
         self._view = view
-        self._tag: int | None = None
+        self._endpoints_tag: int | None = None
         self._shards: dict[ServiceName, tuple[FailureDomain | None, ...]] = {}
-        self._owning: dict[EndpointId, FailureDomain] = {}
+        self._owning_domains: dict[EndpointId, FailureDomain] = {}
 
     def shards(self, *, service: ServiceName) -> tuple[FailureDomain | None, ...]:
         """The shards of a service."""
@@ -99,14 +99,14 @@
     def owning_domain(self, *, endpoint: EndpointId) -> FailureDomain | None:
         """Failure domain of the owner that counts an endpoint, None if unknown."""
         self._refresh()
-        return self._owning.get(endpoint)
+        return self._owning_domains.get(endpoint)
 
     def _refresh(self) -> None:
         tag = self._view.endpoints_tag
-        if tag == self._tag:
+        if tag == self._endpoints_tag:
             return
-        self._tag = tag
-        self._shards, self._owning = {}, {}
+        self._endpoints_tag = tag
+        self._shards, self._owning_domains = {}, {}
         by_service: dict[ServiceName, list[EndpointEntry]] = {}
         for entry in self._view.entries:
             by_service.setdefault(entry.service, []).append(entry)
@@ -117,4 +117,4 @@
             alone = owning_domain(service=service, domains=domains)
             for entry in entries:
                 own = entry.failure_domain if None not in shards else alone
-                self._owning[entry.endpoint] = own
+                self._owning_domains[entry.endpoint] = own
