--- a/dotterelpaddle/owners/asking.py
+++ b/dotterelpaddle/owners/asking.py
@@ -140,11 +140,11 @@
             with anyio.move_on_after(OWNER_TIMEOUT_SECONDS):
                 await asked.answered.wait()
         except BaseException:
-            self._reporter.abandon(question=asked)
+            self._reporter.abandon(pending=asked)
             raise
         if asked.grant is not None:
             return asked
-        self._reporter.abandon(question=asked)
+        self._reporter.abandon(pending=asked)
         self._cooldown_until[owner.router] = self._clock() + OWNER_COOLDOWN_SECONDS
         log.warning("owner_silent", router=owner.router, seconds=OWNER_TIMEOUT_SECONDS)
         return None
--- a/dotterelpaddle/owners/placing.py
+++ b/dotterelpaddle/owners/placing.py
@@ -154,7 +154,7 @@
                 return self._build_choice(
                     grant=grant, owner=answered.owner, usable=usable, request=request
                 )
-            self._reporter.abandon(question=answered)
+            self._reporter.abandon(pending=answered)
             cached_at = grant.fetch_from
         return LocalChoiceReason.NOTHING_GRANTED
 
--- a/dotterelpaddle/owners/telling.py
+++ b/dotterelpaddle/owners/telling.py
@@ -55,13 +55,13 @@
         self._shards = shards
         self._incarnation = secrets.randbits(32)
         self._sequence = 0
-        self._numbers = 0
-        self._open: dict[int, PendingGrant] = {}
+        self._last_number = 0
+        self._pending: dict[int, PendingGrant] = {}
         self._granted: Counter[EndpointId] = Counter()
-        self._untold: set[FailureDomain] = set()
-        self._told_at: dict[FailureDomain, float] = {}
+        self._changed_domains: set[FailureDomain] = set()
+        self._reported_at: dict[FailureDomain, float] = {}
         self._changed = anyio.Event()
-        loads.on_change(self._note_change)
+        loads.on_change(self._on_load_change)
 
     async def wait_for_change(self) -> None:
         """Wait until an owner must be told of something."""
@@ -75,15 +75,15 @@
         told again too, whatever happens elsewhere.
         """
         oldest = self._clock() - REPORT_INTERVAL_SECONDS
-        due, self._untold = self._untold, set()
+        due, self._changed_domains = self._changed_domains, set()
         self._changed = anyio.Event()
         return due | {
             domain
-            for domain in self._in_flight()
-            if self._told_at.get(domain, float("-inf")) <= oldest
+            for domain in self._domains_in_flight()
+            if self._reported_at.get(domain, float("-inf")) <= oldest
         }
 
-    def _in_flight(self) -> set[FailureDomain]:
+    def _domains_in_flight(self) -> set[FailureDomain]:
         """Failure domains whose owners count some of the requests in flight."""
         domains = {
             self._shards.owning_domain(endpoint=each) for each in self._loads.own
@@ -97,7 +97,7 @@
         that has to stand in for another one knows it at once.
         """
         self._sequence += 1
-        self._told_at[domain] = self._clock()
+        self._reported_at[domain] = self._clock()
         loads = Counter(self._loads.own)
         loads.update(self._granted)
         return InFlightReport(
@@ -105,19 +105,19 @@
             incarnation=self._incarnation,
             sequence=self._sequence,
             loads=loads,
-            pending=frozenset(self._open),
+            pending=frozenset(self._pending),
         )
 
     def open_request(self, *, owner: RouterId) -> PendingGrant:
         """Begin a question to an owner."""
-        self._numbers += 1
-        question = PendingGrant(number=self._numbers, owner=owner)
-        self._open[question.number] = question
+        self._last_number += 1
+        question = PendingGrant(number=self._last_number, owner=owner)
+        self._pending[question.number] = question
         return question
 
     def resolve(self, *, grant: Grant) -> None:
         """Take in an answer; one that comes too late is passed over."""
-        question = self._open.pop(grant.number, None)
+        question = self._pending.pop(grant.number, None)
         if question is None:
             return
         question.grant = grant
@@ -125,21 +125,21 @@
             self._granted[grant.endpoint] += 1
         question.answered.set()
 
-    def abandon(self, *, question: PendingGrant) -> None:
+    def abandon(self, *, pending: PendingGrant) -> None:
         """Forget a question, or the answer to it that nobody uses."""
-        self._open.pop(question.number, None)
-        grant = question.grant
+        self._pending.pop(pending.number, None)
+        grant = pending.grant
         if grant is not None and grant.endpoint is not None:
-            self._take_granted(grant.endpoint)
-            self._must_tell(grant.endpoint)
+            self._consume_grant(grant.endpoint)
+            self._mark_changed(grant.endpoint)
 
-    def _note_change(self, endpoint: EndpointId, count: int) -> None:
+    def _on_load_change(self, endpoint: EndpointId, count: int) -> None:
         """Let its owner be told, unless it granted the request."""
-        granted = count > 0 and self._take_granted(endpoint)
+        granted = count > 0 and self._consume_grant(endpoint)
         if not granted:
-            self._must_tell(endpoint)
+            self._mark_changed(endpoint)
 
-    def _take_granted(self, endpoint: EndpointId) -> bool:
+    def _consume_grant(self, endpoint: EndpointId) -> bool:
         if endpoint not in self._granted:
             return False
         self._granted[endpoint] -= 1
@@ -147,8 +147,8 @@
             del self._granted[endpoint]
         return True
 
-    def _must_tell(self, endpoint: EndpointId) -> None:
+    def _mark_changed(self, endpoint: EndpointId) -> None:
         domain = self._shards.owning_domain(endpoint=endpoint)
         if domain is not None:
-            self._untold.add(domain)
+            self._changed_domains.add(domain)
             self._changed.set()
--- a/dotterelpaddle/tests/owners/test_counts.py
+++ b/dotterelpaddle/tests/owners/test_counts.py
@@ -60,7 +60,7 @@
     @rule(index=INDEX)
     def give_up_waiting(self, index: int) -> None:
         for key in [key for key in self.open if key[0] == index]:
-            self.routers[index].requests.abandon(question=self.open.pop(key))
+            self.routers[index].requests.abandon(pending=self.open.pop(key))
 
     @rule(place=st.integers(min_value=0), twice=st.booleans())
     def deliver_to_owner(self, place: int, twice: bool) -> None:
@@ -112,7 +112,7 @@
         """One message of each that arrives makes good whatever went before."""
         self.to_owner.clear()
         for key in list(self.open):
-            self.routers[key[0]].requests.abandon(question=self.open.pop(key))
+            self.routers[key[0]].requests.abandon(pending=self.open.pop(key))
         for router in self.routers:
             self.world.owner.record_report(report=decode_held(router))
         assert Counter(self.world.counts.loads) == total(self.routers)
--- a/dotterelpaddle/tests/owners/world.py
+++ b/dotterelpaddle/tests/owners/world.py
@@ -152,7 +152,7 @@
         """Hear an answer in time, and begin the request."""
         self.requests.resolve(grant=grant)
         if asked.grant is None or asked.grant.endpoint is None:
-            self.requests.abandon(question=asked)
+            self.requests.abandon(pending=asked)
             return None
         self.begin(endpoint=asked.grant.endpoint)
         return asked.grant.endpoint
