--- a/dotterelpaddle/endpoint/pool.py
+++ b/dotterelpaddle/endpoint/pool.py
@@ -133,7 +133,7 @@
             return connection
         raise EndpointUnreachable(
             "no connection could be had in time",
-            silent=True,
+            timed_out=True,
             peer=str(self._address),
         )
 
@@ -201,7 +201,7 @@
         except (httpcore.ConnectError, httpcore.ConnectTimeout) as error:
             raise EndpointUnreachable(
                 f"no connection: {error or type(error).__name__}",
-                silent=isinstance(error, httpcore.ConnectTimeout),
+                timed_out=isinstance(error, httpcore.ConnectTimeout),
                 peer=str(self._address),
             ) from error
         return Connection(stream=stream, opened_at=self._clock())
--- a/dotterelpaddle/exceptions.py
+++ b/dotterelpaddle/exceptions.py
@@ -286,12 +286,12 @@
         self,
         message: str,
         *,
-        silent: bool = False,
+        timed_out: bool = False,
         step: Step | None = None,
         peer: str = "",
     ):
         super().__init__(message, step=step, peer=peer)
-        self.timed_out = silent
+        self.timed_out = timed_out
 
 
 class EndpointSilent(EndpointError):
