--- a/dotterelpaddle/forwarding/router.py
+++ b/dotterelpaddle/forwarding/router.py
@@ -90,7 +90,7 @@
                     view=knowledge.view, caches=knowledge.caches, metrics=parts.metrics
                 ),
                 address=settings.control,
-                also=settings.metrics,
+                additional_address=settings.metrics,
             )
         )
         tasks.start_soon(parts.exchange.run, datagrams, control)
--- a/dotterelpaddle/http_server.py
+++ b/dotterelpaddle/http_server.py
@@ -46,15 +46,15 @@
 
     def __init__(self, config: uvicorn.Config) -> None:
         super().__init__(config)
-        self._stopping = anyio.Event()
+        self._stop_requested = anyio.Event()
 
     def stop(self) -> None:
         """Let it shut down."""
         self.should_exit = True
-        self._stopping.set()
+        self._stop_requested.set()
 
     async def main_loop(self) -> None:
-        await self._stopping.wait()
+        await self._stop_requested.wait()
 
     @contextmanager
     def capture_signals(self) -> Iterator[None]:
@@ -68,7 +68,7 @@
     address: Address | socket.socket,
     grace: float = SHUTDOWN_GRACE_SECONDS,
     protocol: type[asyncio.Protocol] | None = None,
-    also: Address | None = None,
+    additional_address: Address | None = None,
 ) -> AsyncIterator[Address]:
     """Serve an ASGI application until the context ends.
 
@@ -80,13 +80,16 @@
             already, which is closed at the end.
         grace: Seconds that open connections get at the end.
         protocol: Class of connections, uvicorn's own by default.
-        also: Where else to listen.
+        additional_address: Where else to listen.
 
     Yields:
         The address in use.
     """
     listener = bind(address=address) if isinstance(address, Address) else address
-    listeners = [listener, *([bind(address=also)] if also else [])]
+    listeners = [
+        listener,
+        *([bind(address=additional_address)] if additional_address else []),
+    ]
     settings = uvicorn.Config(
         app,
         loop="asyncio",
