--- a/dotterelpaddle/line_logs.py
+++ b/dotterelpaddle/line_logs.py
@@ -49,7 +49,7 @@
 
 
 @dataclass(kw_only=True, slots=True)
-class _Allowance:
+class _TokenBucket:
     """Lines of one event that may be written now."""
 
     tokens: float
@@ -68,13 +68,13 @@
         self._descriptor = descriptor
         self._clock = clock
         self._process = secrets.token_hex(16)
-        self._number = 0
-        self._allowances: dict[str, _Allowance] = {}
-        self._left_out: Counter[str] = Counter()
-        self._told_at = float("-inf")
+        self._line_number = 0
+        self._buckets: dict[str, _TokenBucket] = {}
+        self._dropped: Counter[str] = Counter()
+        self._drops_reported_at = float("-inf")
         self._queue: list[bytes] = []
-        self._queued = 0
-        self._written = threading.Condition()
+        self._queued_bytes = 0
+        self._condition = threading.Condition()
         self._closing = False
 
     def write(self, *, event: str, fields: dict[str, Any], keep: bool) -> None:
@@ -85,12 +85,12 @@
             fields: What decided it.
             keep: Whether it is written whatever the rate of its event.
         """
-        if not keep and not self._take(event):
-            self._left_out[event] += 1
+        if not keep and not self._take_token(event):
+            self._dropped[event] += 1
             return
-        self._tell_left_out()
-        if not self._put(event, fields):
-            self._left_out[event] += 1
+        self._report_dropped()
+        if not self._enqueue(event, fields):
+            self._dropped[event] += 1
 
     @contextmanager
     def opened(self) -> Iterator[None]:
@@ -101,18 +101,18 @@
         try:
             yield
         finally:
-            with self._written:
+            with self._condition:
                 self._closing = True
-                self._written.notify()
+                self._condition.notify()
             thread.join(CLOSE_TIMEOUT_SECONDS)
 
-    def _take(self, event: str) -> bool:
+    def _take_token(self, event: str) -> bool:
         """Take one line off the allowance of an event, if there is any."""
         now = self._clock()
-        allowance = self._allowances.get(event)
+        allowance = self._buckets.get(event)
         if allowance is None:
-            allowance = _Allowance(tokens=EVENT_BURST_LINES, updated_at=now)
-            self._allowances[event] = allowance
+            allowance = _TokenBucket(tokens=EVENT_BURST_LINES, updated_at=now)
+            self._buckets[event] = allowance
         earned = EVENT_LINES_PER_SECOND * (now - allowance.updated_at)
         allowance.tokens = min(EVENT_BURST_LINES, allowance.tokens + earned)
         allowance.updated_at = now
@@ -121,21 +121,24 @@
         allowance.tokens -= 1.0
         return True
 
-    def _tell_left_out(self) -> None:
+    def _report_dropped(self) -> None:
         now = self._clock()
-        if not self._left_out or now - self._told_at < DROP_REPORT_INTERVAL_SECONDS:
+        if (
+            not self._dropped
+            or now - self._drops_reported_at < DROP_REPORT_INTERVAL_SECONDS
+        ):
             return
-        if self._put(LINES_DROPPED_EVENT, {"events": self._left_out}):
-            self._left_out = Counter()
-            self._told_at = now
+        if self._enqueue(LINES_DROPPED_EVENT, {"events": self._dropped}):
+            self._dropped = Counter()
+            self._drops_reported_at = now
 
-    def _put(self, event: str, fields: dict[str, Any]) -> bool:
+    def _enqueue(self, event: str, fields: dict[str, Any]) -> bool:
         """Queue a line; False if too many wait already."""
-        self._number += 1
+        self._line_number += 1
         line = orjson.dumps(
             {
                 "task_uuid": self._process,
-                "task_level": [self._number],
+                "task_level": [self._line_number],
                 "timestamp": time.time(),
                 "message_type": event,
                 **fields,
@@ -143,28 +146,28 @@
             default=str,
             option=orjson.OPT_APPEND_NEWLINE | orjson.OPT_NON_STR_KEYS,
         )
-        with self._written:
-            if self._queued + len(line) > MAX_QUEUED_BYTES:
+        with self._condition:
+            if self._queued_bytes + len(line) > MAX_QUEUED_BYTES:
                 return False
             if not self._queue:
-                self._written.notify()
+                self._condition.notify()
             self._queue.append(line)
-            self._queued += len(line)
+            self._queued_bytes += len(line)
             return True
 
     def _run(self) -> None:
         while True:
-            with self._written:
+            with self._condition:
                 while not self._queue and not self._closing:
-                    self._written.wait()
+                    self._condition.wait()
                 if not self._queue:
                     return
                 closing = self._closing
             if not closing:
                 time.sleep(BATCH_SECONDS)
-            with self._written:
+            with self._condition:
                 lines, self._queue = self._queue, []
-                self._queued = 0
+                self._queued_bytes = 0
             if not self._drain(b"".join(lines)):
                 return
 
