--- a/bench/membership.py
+++ b/bench/membership.py
@@ -418,7 +418,7 @@
 async def _measure_loss(*, nodes: list[Node], figures: Figures) -> None:
     await anyio.sleep(1.0)
     for node in nodes:
-        node.links.set_loss(share=LOSS)
+        node.links.set_loss(ratio=LOSS)
     sent = sum(_sent(node=node) for node in nodes)
     failed = sum(node.membership.failed_probes for node in nodes)
     deaths = sum(node.membership.deaths_declared for node in nodes)
@@ -434,7 +434,7 @@
     )
     figures.loss_endpoint = await _spread(nodes=nodes, version=TRIALS + 1)
     for node in nodes:
-        node.links.set_loss(share=0.0)
+        node.links.set_loss(ratio=0.0)
 
 
 async def _measure_channel(*, messages: int) -> float:
--- a/dotterelpaddle/fleet/partitions.py
+++ b/dotterelpaddle/fleet/partitions.py
@@ -129,7 +129,7 @@
     def lose(self, *, routers: tuple[RouterId, ...], share: float) -> None:
         """Lose a share of the datagrams of some routers, from 0 to 1."""
         for router in routers:
-            self.links_of(router=router).set_loss(share=share)
+            self.links_of(router=router).set_loss(ratio=share)
 
     def isolate(self, *, name: str) -> None:
         """Cut a node from all other nodes and the platform."""
--- a/dotterelpaddle/links.py
+++ b/dotterelpaddle/links.py
@@ -22,13 +22,13 @@
 
     def __init__(self, *, seed: int = 0) -> None:
         self._cut: set[Address] = set()
-        self._loss = 0.0
+        self._loss_ratio = 0.0
         self._random = random.Random(seed)
 
     @property
     def has_faults(self) -> bool:
         """Whether any fault is switched on."""
-        return bool(self._cut) or self._loss > 0.0
+        return bool(self._cut) or self._loss_ratio > 0.0
 
     def is_open(self, *, peer: Address) -> bool:
         """Tell whether packets to and from a peer pass."""
@@ -36,7 +36,7 @@
 
     def should_drop_datagram(self) -> bool:
         """Draw whether the next datagram is lost."""
-        return self._loss > 0.0 and self._random.random() < self._loss
+        return self._loss_ratio > 0.0 and self._random.random() < self._loss_ratio
 
     def cut(self, *, peers: frozenset[Address]) -> None:
         """Drop all packets to and from some peers; connections go silent."""
@@ -49,6 +49,6 @@
         else:
             self._cut -= peers
 
-    def set_loss(self, *, share: float) -> None:
+    def set_loss(self, *, ratio: float) -> None:
         """Lose a share of datagrams, from 0 to 1."""
-        self._loss = share
+        self._loss_ratio = ratio
--- a/dotterelpaddle/tests/catalog/test_service.py
+++ b/dotterelpaddle/tests/catalog/test_service.py
@@ -165,7 +165,7 @@
         await _commit(nodes[0], name="x", number=1)
         await _until(lambda: _value(nodes[1], "x") == 1)
         for node in nodes:
-            node.links.set_loss(share=1.0)
+            node.links.set_loss(ratio=1.0)
         await _commit(nodes[0], name="x", number=2)
         await _until(lambda: _value(nodes[1], "x") == 2)
 
