--- a/dotterelpaddle/commands/trace.py
+++ b/dotterelpaddle/commands/trace.py
@@ -27,7 +27,7 @@
         request: Id of the request.
         files: Log files of any routers; standard input if none is named.
     """
-    story = find_trace(lines=read_lines(source=_texts(files)), request=request)
+    story = find_trace(lines=read_lines(source=_texts(files)), request_id=request)
     if story is None:
         print(f"no line is about request '{request}'", file=sys.stderr)
         return ExitCode.FAILED
--- a/dotterelpaddle/log_reader.py
+++ b/dotterelpaddle/log_reader.py
@@ -66,7 +66,7 @@
     return [line for line in lines if line is not None]
 
 
-def find_trace(*, lines: Iterable[LogLine], request: str) -> RequestTrace | None:
+def find_trace(*, lines: Iterable[LogLine], request_id: str) -> RequestTrace | None:
     """Find what tells of a request, None if nothing does.
 
     Beside its own lines these are, of the same processes and about the same time, what
@@ -74,7 +74,7 @@
     platform, other routers, the configuration.
     """
     everything = sorted(lines, key=lambda line: line.written_at)
-    own = [line for line in everything if line.request_id == request]
+    own = [line for line in everything if line.request_id == request_id]
     if not own:
         return None
     processes = {line.process for line in own}
--- a/dotterelpaddle/tests/commands/test_trace.py
+++ b/dotterelpaddle/tests/commands/test_trace.py
@@ -47,7 +47,7 @@
 
 
 def test_story_holds_the_request_and_what_may_explain_it() -> None:
-    story = find_trace(lines=read_lines(source=reversed(LOG)), request="q1")
+    story = find_trace(lines=read_lines(source=reversed(LOG)), request_id="q1")
 
     assert story is not None
     assert sorted(line.event for line in story.lines) == [
@@ -64,7 +64,7 @@
 
 
 def test_request_that_nobody_logged_has_no_story() -> None:
-    assert find_trace(lines=read_lines(source=LOG), request="q9") is None
+    assert find_trace(lines=read_lines(source=LOG), request_id="q9") is None
 
 
 def test_command_marks_the_lines_of_the_request(
