--- a/dotterelpaddle/logs.py
+++ b/dotterelpaddle/logs.py
@@ -159,14 +159,14 @@
     A process has one such stream; a later call replaces the earlier one.
     """
     _output.replace(
-        target=_Target(level=level, sink=_eliot(stream=stream or sys.stderr))
+        target=_Target(level=level, sink=_eliot_sink(stream=stream or sys.stderr))
     )
 
 
 @contextmanager
 def redirect_logs(*, level: Level, stream: IO[str]) -> Iterator[None]:
     """Send log lines to a stream while the context lasts."""
-    with log_to_sink(level=level, sink=_eliot(stream=stream)):
+    with log_to_sink(level=level, sink=_eliot_sink(stream=stream)):
         yield
 
 
@@ -180,7 +180,7 @@
         _output.replace(target=earlier)
 
 
-def _eliot(*, stream: IO[str]) -> Sink:
+def _eliot_sink(*, stream: IO[str]) -> Sink:
     # Routers on small hosts write lines without it, and have no room for it.
     from dotterelpaddle.eliot_logs import EliotSink
 
