--- a/dotterelpaddle/network.py
+++ b/dotterelpaddle/network.py
@@ -40,20 +40,20 @@
         self._stream = stream
         self._peer = peer
         self._links = links
-        self._held = b""
-        self._written = 0
-        self._received = 0
+        self._blocked = b""
+        self._bytes_written = 0
+        self._bytes_received = 0
         self._read_timeout: float | None = None
-        self._more_time: Callable[[], float] | None = None
+        self._read_extension: Callable[[], float] | None = None
 
     @property
     def read_extension(self) -> Callable[[], float] | None:
         """Tells how many more seconds a read waits whose time is up, 0 for none."""
-        return self._more_time
+        return self._read_extension
 
     @read_extension.setter
     def read_extension(self, more_time: Callable[[], float] | None) -> None:
-        self._more_time = more_time
+        self._read_extension = more_time
 
     @property
     def read_timeout(self) -> float | None:
@@ -67,46 +67,50 @@
     @property
     def bytes_written(self) -> int:
         """Bytes that were given to the connection so far."""
-        return self._written
+        return self._bytes_written
 
     @property
     def bytes_received(self) -> int:
         """Bytes that came from the other end so far."""
-        return self._received
+        return self._bytes_received
 
     @property
     def has_unsent_bytes(self) -> bool:
         """Whether bytes that were written have not left yet."""
-        return bool(self._held or self._stream.get_extra_info("unsent"))
+        return bool(self._blocked or self._stream.get_extra_info("unsent"))
 
     async def read(self, max_bytes: int, timeout: float | None = None) -> bytes:
         """Read some bytes, empty at the end."""
         if timeout is None:
             timeout = self._read_timeout
-        if self._held:
-            await self._send_held(timeout=timeout)
-        data = await self._read_on(max_bytes, timeout)
+        if self._blocked:
+            await self._send_blocked(timeout=timeout)
+        data = await self._read_with_extensions(max_bytes, timeout)
         if self._links.has_faults:
             await self._wait_for_link(timeout=timeout, error=httpcore.ReadTimeout)
-        self._received += len(data)
+        self._bytes_received += len(data)
         return data
 
-    async def _read_on(self, max_bytes: int, timeout: float | None) -> bytes:
+    async def _read_with_extensions(
+        self, max_bytes: int, timeout: float | None
+    ) -> bytes:
         while True:
             try:
                 return await self._stream.read(max_bytes, timeout)
             except httpcore.ReadTimeout:
-                timeout = 0.0 if self._more_time is None else self._more_time()
+                timeout = (
+                    0.0 if self._read_extension is None else self._read_extension()
+                )
                 if timeout <= 0.0:
                     raise
 
     async def write(self, buffer: bytes, timeout: float | None = None) -> None:
         """Write all bytes; while the link is cut they wait for it unseen."""
-        self._written += len(buffer)
+        self._bytes_written += len(buffer)
         if self._links.has_faults and not self._links.is_open(peer=self._peer):
-            self._held += buffer
+            self._blocked += buffer
             return
-        held, self._held = self._held, b""
+        held, self._blocked = self._blocked, b""
         await self._stream.write(held + buffer, timeout)
 
     async def aclose(self) -> None:
@@ -127,9 +131,9 @@
         """Look up what httpcore asks of a connection."""
         return self._stream.get_extra_info(info)
 
-    async def _send_held(self, *, timeout: float | None) -> None:
+    async def _send_blocked(self, *, timeout: float | None) -> None:
         await self._wait_for_link(timeout=timeout, error=httpcore.ReadTimeout)
-        held, self._held = self._held, b""
+        held, self._blocked = self._blocked, b""
         await self._stream.write(held, timeout)
 
     async def _wait_for_link(
