--- a/dotterelpaddle/transport.py
+++ b/dotterelpaddle/transport.py
@@ -31,8 +31,8 @@
         self.transport: asyncio.Transport
         self.failure: Exception | None = None
         self.closed = False
-        self._parts: list[bytes] = []
-        self._size = 0
+        self._chunks: list[bytes] = []
+        self._buffered_bytes = 0
         self._paused = False
         self._reader: asyncio.Future[None] | None = None
         self._deadline = math.inf
@@ -41,7 +41,7 @@
 
     @property
     def has_data(self) -> bool:
-        return bool(self._parts)
+        return bool(self._chunks)
 
     @property
     def can_write(self) -> bool:
@@ -52,16 +52,16 @@
         self.transport = transport
 
     def data_received(self, data: bytes) -> None:
-        self._parts.append(data)
-        self._size += len(data)
-        if self._size > MAX_BUFFERED_BYTES and not self._paused:
+        self._chunks.append(data)
+        self._buffered_bytes += len(data)
+        if self._buffered_bytes > MAX_BUFFERED_BYTES and not self._paused:
             self._paused = True
             self.transport.pause_reading()
-        _wake(self._reader)
+        _resolve(self._reader)
 
     def eof_received(self) -> bool:
         self.closed = True
-        _wake(self._reader)
+        _resolve(self._reader)
         return False
 
     def connection_lost(self, exc: Exception | None) -> None:
@@ -70,19 +70,19 @@
         if self._timer is not None:
             self._timer.cancel()
             self._timer = None
-        _wake(self._reader)
-        _wake(self._writer)
+        _resolve(self._reader)
+        _resolve(self._writer)
 
     def pause_writing(self) -> None:
         self._writer = asyncio.get_running_loop().create_future()
 
     def resume_writing(self) -> None:
-        _wake(self._writer)
+        _resolve(self._writer)
         self._writer = None
 
     def take_data(self) -> bytes:
         """Return all that has come in."""
-        parts, self._parts, self._size = self._parts, [], 0
+        parts, self._chunks, self._buffered_bytes = self._chunks, [], 0
         if self._paused:
             self._paused = False
             self.transport.resume_reading()
@@ -110,9 +110,9 @@
             if self._timer.when() <= self._deadline:
                 return
             self._timer.cancel()
-        self._timer = loop.call_at(self._deadline, self._look_at_deadline, loop)
+        self._timer = loop.call_at(self._deadline, self._check_deadline, loop)
 
-    def _look_at_deadline(self, loop: asyncio.AbstractEventLoop) -> None:
+    def _check_deadline(self, loop: asyncio.AbstractEventLoop) -> None:
         self._timer = None
         if self._reader is None or self._deadline == math.inf:
             return
@@ -236,7 +236,7 @@
         await anyio.sleep(seconds)
 
 
-def _wake(waiter: asyncio.Future[None] | None) -> None:
+def _resolve(waiter: asyncio.Future[None] | None) -> None:
     if waiter is not None and not waiter.done():
         waiter.set_result(None)
 
