--- a/dotterelpaddle/tests/owners/arrivals.py
+++ b/dotterelpaddle/tests/owners/arrivals.py
@@ -20,38 +20,38 @@
     """A request that reached an endpoint.
 
     Attributes:
-        at: Seconds since the fleet's start.
+        arrived_at: Seconds since the fleet's start.
         endpoint: Where.
-        over: Whether the endpoint held more than users allow.
+        over_bound: Whether the endpoint held more than users allow.
         load: What it held.
         mean: Mean load of all endpoints that ran.
         choice: What the router that sent it knew.
     """
 
-    at: float
+    arrived_at: float
     endpoint: EndpointId
-    over: bool
+    over_bound: bool
     load: int
     mean: float
     choice: Choice
 
 
-def worst_share(
+def worst_over_bound_share(
     *, arrivals: Sequence[Arrival], since: float, window: float = 5.0
 ) -> float:
     """The largest share of requests over the bound in any window of some seconds."""
-    counted = [each for each in arrivals if each.at >= since]
+    counted = [each for each in arrivals if each.arrived_at >= since]
     worst, first, over = 0.0, 0, 0
     for last, arrival in enumerate(counted):
-        over += arrival.over
-        while counted[first].at < arrival.at - window:
-            over -= counted[first].over
+        over += arrival.over_bound
+        while counted[first].arrived_at < arrival.arrived_at - window:
+            over -= counted[first].over_bound
             first += 1
-        if arrival.at - since >= window:
+        if arrival.arrived_at - since >= window:
             worst = max(worst, over / (last - first + 1))
     return worst
 
 
-def decided_alone(*, arrivals: Sequence[Arrival]) -> float:
+def local_decision_share(*, arrivals: Sequence[Arrival]) -> float:
     """Share of the requests that routers placed by themselves."""
     return sum(each.choice.decided_by is None for each in arrivals) / len(arrivals)
--- a/dotterelpaddle/tests/owners/fleet.py
+++ b/dotterelpaddle/tests/owners/fleet.py
@@ -232,9 +232,9 @@
         mean = sum(loads) / len(loads)
         self.arrivals.append(
             Arrival(
-                at=anyio.current_time(),
+                arrived_at=anyio.current_time(),
                 endpoint=endpoint,
-                over=at.load > BOUND_MULTIPLE * mean + BOUND_ALLOWANCE,
+                over_bound=at.load > BOUND_MULTIPLE * mean + BOUND_ALLOWANCE,
                 load=at.load,
                 mean=mean,
                 choice=choice,
--- a/dotterelpaddle/tests/owners/test_incident.py
+++ b/dotterelpaddle/tests/owners/test_incident.py
@@ -24,7 +24,11 @@
 import anyio
 import pytest
 
-from dotterelpaddle.tests.owners.arrivals import Arrival, decided_alone, worst_share
+from dotterelpaddle.tests.owners.arrivals import (
+    Arrival,
+    local_decision_share,
+    worst_over_bound_share,
+)
 from dotterelpaddle.tests.owners.fleet import OwnedFleet, play
 from dotterelpaddle.tests.owners.hosts import DOMAINS
 from dotterelpaddle.tests.virtual_time import run_in_virtual_time
@@ -96,39 +100,41 @@
     """The incident itself: no router hears of an owner."""
     arrivals = _play(_endpoints_come_and_go, decide_alone=True)
 
-    assert worst_share(arrivals=arrivals, since=START_TIME + WARM_UP) > ALLOWED
+    assert (
+        worst_over_bound_share(arrivals=arrivals, since=START_TIME + WARM_UP) > ALLOWED
+    )
 
 
 def test_owners_keep_the_bound_while_endpoints_come_and_go() -> None:
     arrivals = _play(_endpoints_come_and_go)
 
-    assert worst_share(arrivals=arrivals, since=START_TIME + WARM_UP) <= AIM
-    assert decided_alone(arrivals=arrivals) < AIM
+    assert worst_over_bound_share(arrivals=arrivals, since=START_TIME + WARM_UP) <= AIM
+    assert local_decision_share(arrivals=arrivals) < AIM
 
 
 @pytest.mark.parametrize("seed", [1, 2])
 def test_bound_is_kept_while_routers_are_stopped_in_turn(seed: int) -> None:
     arrivals = _play(_routers_stop_in_turn, seed=seed)
 
-    assert worst_share(arrivals=arrivals, since=START_TIME) <= AIM
+    assert worst_over_bound_share(arrivals=arrivals, since=START_TIME) <= AIM
 
 
 @pytest.mark.parametrize("seed", [1, 2])
 def test_bound_is_kept_while_two_owners_answer_late(seed: int) -> None:
     arrivals = _play(_two_owners_are_slow, seed=seed)
 
-    assert worst_share(arrivals=arrivals, since=START_TIME + WARM_UP) <= AIM
+    assert worst_over_bound_share(arrivals=arrivals, since=START_TIME + WARM_UP) <= AIM
 
 
 def test_bound_is_kept_while_all_owners_answer_late() -> None:
     arrivals = _play(_all_owners_are_slow)
 
-    assert worst_share(arrivals=arrivals, since=START_TIME + WARM_UP) <= AIM
+    assert worst_over_bound_share(arrivals=arrivals, since=START_TIME + WARM_UP) <= AIM
 
 
 def test_owners_that_stop_hand_over_before_they_end() -> None:
     """A planned stop leaves no request without an owner that decides."""
     arrivals = _play(_owners_stop_at_once)
 
-    assert worst_share(arrivals=arrivals, since=START_TIME) <= AIM
-    assert decided_alone(arrivals=arrivals) <= AIM
+    assert worst_over_bound_share(arrivals=arrivals, since=START_TIME) <= AIM
+    assert local_decision_share(arrivals=arrivals) <= AIM
