--- a/dotterelpaddle/tests/owners/fleet.py
+++ b/dotterelpaddle/tests/owners/fleet.py
@@ -53,25 +53,25 @@
 
 SERVICE = ServiceName("engines")
 SLOTS = 12
-NEWS_TIME = (0.1, 0.9)
+UPDATE_DELAY_SECONDS = (0.1, 0.9)
 """Seconds until a router knows of a change of an endpoint, at least and at most."""
 
-DRAIN_TIME = 3.0
+DRAIN_SECONDS = 3.0
 """Seconds that an endpoint serves on after it has said that it leaves."""
 
-RESTART_TIME = 0.5
+RESTART_SECONDS = 0.5
 """Seconds between the end of a router's process and the next one's start."""
 
-RATE = 580.0
+REQUESTS_PER_SECOND = 580.0
 """Requests a second, of CLIENTS callers."""
 
 CLIENTS = 116
 SUBJECTS, ZIPF = 900, 0.6
 SYSTEM_TOKENS, SUBJECT_TOKENS = 500, 5500
-READING_SPEED, FETCH_SPEED = 80_000.0, 500_000.0
+READ_TOKENS_PER_SECOND, FETCH_TOKENS_PER_SECOND = 80_000.0, 500_000.0
 """Prompt tokens that an endpoint reads or fetches in a second."""
 
-ANSWER_TIME, SLOWING = 0.2, 0.04
+ANSWER_SECONDS, SLOWDOWN_PER_REQUEST = 0.2, 0.04
 """Seconds of an answer alone, and the part of it that each other one adds."""
 
 
@@ -87,7 +87,7 @@
         return self.entry.endpoint
 
 
-class OwnedFleet:
+class SimulatedFleet:
     """Routers, endpoints and callers.
 
     Args:
@@ -95,7 +95,7 @@
         endpoints: How many endpoints.
         seed: Of all that is drawn.
         leave_time: Seconds that a stopping router serves on.
-        decide_alone: Whether no router ever hears of an owner.
+        without_owners: Whether no router ever hears of an owner.
     """
 
     def __init__(
@@ -105,10 +105,10 @@
         endpoints: int = 30,
         seed: int = 1,
         leave_time: float = 2.6,
-        decide_alone: bool = False,
+        without_owners: bool = False,
     ) -> None:
-        self.dice = random.Random(seed)
-        self._decide_alone = decide_alone
+        self.generator = random.Random(seed)
+        self._without_owners = without_owners
         self._leave_time = leave_time
         self.revision = 0
         self.routers = [
@@ -127,7 +127,9 @@
         self.arrivals: list[Arrival] = []
         weights = [(rank + 1) ** -ZIPF for rank in range(SUBJECTS)]
         self._weights = list(itertools.accumulate(weights))
-        self._orders = [self._order(client=client) for client in range(CLIENTS)]
+        self._client_routers = [
+            self._preferred_routers(client=client) for client in range(CLIENTS)
+        ]
         self.tasks: TaskGroup
 
     # What operators do.
@@ -141,7 +143,7 @@
     async def replace_endpoints(self, *, count: int, pause: float) -> None:
         """Let one leave and start another one, again and again."""
         for _ in range(count):
-            leaving = self.dice.choice(
+            leaving = self.generator.choice(
                 [
                     each
                     for each in self.endpoints.values()
@@ -159,7 +161,7 @@
         for router in routers:
             router.stopping_since = anyio.current_time()
             router.stopping.set()
-            await anyio.sleep(self.dice.uniform(0.2, 1.8) * pause)
+            await anyio.sleep(self.generator.uniform(0.2, 1.8) * pause)
 
     async def add_endpoints(self, *, count: int) -> None:
         """Start some more, a tenth of a second after each other."""
@@ -182,10 +184,11 @@
         """Send requests as they come."""
         until = anyio.current_time() + seconds
         while anyio.current_time() < until:
-            await anyio.sleep(self.dice.expovariate(RATE))
-            client = self.dice.randrange(CLIENTS)
+            await anyio.sleep(self.generator.expovariate(REQUESTS_PER_SECOND))
+            client = self.generator.randrange(CLIENTS)
             router = next(
-                (each for each in self._orders[client] if each.takes_callers), None
+                (each for each in self._client_routers[client] if each.takes_callers),
+                None,
             )
             if router is not None:
                 self.tasks.start_soon(self._request, router)
@@ -205,20 +208,20 @@
             with parts.state.loads.track(
                 endpoint=endpoint, work_tokens=choice.work_tokens
             ):
-                await anyio.sleep(self._travel(router, choice.entry.failure_domain))
+                await anyio.sleep(self._latency(router, choice.entry.failure_domain))
                 await self._serve(endpoint=endpoint, choice=choice)
-                await anyio.sleep(self._travel(router, choice.entry.failure_domain))
+                await anyio.sleep(self._latency(router, choice.entry.failure_domain))
         finally:
             router.in_flight -= 1
 
-    def _order(self, *, client: int) -> list[Router]:
+    def _preferred_routers(self, *, client: int) -> list[Router]:
         """Routers to which a caller's connection goes: the first that takes callers."""
         return sorted(
             self.routers, key=lambda router: digest(text=f"{client}/{router.name}")
         )
 
     def _prompt(self) -> ForwardRequest:
-        drawn = self.dice.random() * self._weights[-1]
+        drawn = self.generator.random() * self._weights[-1]
         subject = bisect.bisect(self._weights, drawn)
         return make_request(
             ("system", SYSTEM_TOKENS), (f"subject-{subject}", SUBJECT_TOKENS)
@@ -240,29 +243,37 @@
                 choice=choice,
             )
         )
-        speed = READING_SPEED if choice.fetch_from is None else FETCH_SPEED
+        speed = (
+            READ_TOKENS_PER_SECOND
+            if choice.fetch_from is None
+            else FETCH_TOKENS_PER_SECOND
+        )
         reading = choice.missing_tokens / speed
         busy, queued = min(at.load, SLOTS), max(0, at.load + 1 - SLOTS)
-        answer = ANSWER_TIME * (1 + SLOWING * busy) * self.dice.uniform(0.5, 1.5)
+        answer = (
+            ANSWER_SECONDS
+            * (1 + SLOWDOWN_PER_REQUEST * busy)
+            * self.generator.uniform(0.5, 1.5)
+        )
         at.load += 1
-        await anyio.sleep(reading + answer + queued * ANSWER_TIME / SLOTS)
+        await anyio.sleep(reading + answer + queued * ANSWER_SECONDS / SLOTS)
         at.load -= 1
 
     # Hosts and network.
 
-    def _fly(self, datagram: bytes, sender: Router, target: Address) -> None:
+    def _send_datagram(self, datagram: bytes, sender: Router, target: Address) -> None:
         router = self._by_address.get(target)
         if router is not None:
             self.tasks.start_soon(self._deliver, datagram, sender, router)
 
     async def _deliver(self, datagram: bytes, sender: Router, target: Router) -> None:
-        await anyio.sleep(self._travel(sender, target.domain))
+        await anyio.sleep(self._latency(sender, target.domain))
         if target.datagrams is not None:
             await target.datagrams.arrive(datagram=datagram, sender=sender.address)
 
-    def _travel(self, router: Router, domain: FailureDomain) -> float:
+    def _latency(self, router: Router, domain: FailureDomain) -> float:
         least = NEAR if router.domain == domain else FAR
-        return least * self.dice.uniform(1.0, 1.5)
+        return least * self.generator.uniform(1.0, 1.5)
 
     async def run_host(self, router: Router) -> None:
         """Run a router's processes, one after the other."""
@@ -275,15 +286,15 @@
                 clock=anyio.current_time,
                 leave_time=self._leave_time,
             )
-            datagrams: Any = HostDatagrams(router=router, send=self._fly)
+            datagrams: Any = HostDatagrams(router=router, send=self._send_datagram)
             router.parts, router.datagrams = parts, datagrams
-            if self._decide_alone:
+            if self._without_owners:
                 parts.state.directory.owners = dict  # type: ignore[method-assign]
             async with anyio.create_task_group() as tasks:
                 tasks.start_soon(parts.exchange.run, datagrams, router.address)
                 tasks.start_soon(parts.owners.run, datagrams)
                 await anyio.sleep(0.05)
-                self._tell_all(parts)
+                self._deliver_snapshot(parts)
                 await router.stopping.wait()
                 parts.start_draining()
                 await anyio.sleep(self._leave_time)
@@ -292,7 +303,7 @@
                 tasks.cancel_scope.cancel()
             router.parts, router.datagrams = None, None
             router.stopping, router.stopping_since = anyio.Event(), float("inf")
-            await anyio.sleep(RESTART_TIME)
+            await anyio.sleep(RESTART_SECONDS)
 
     # Endpoints.
 
@@ -324,7 +335,7 @@
         )
         endpoint.entry = entry
         self._announce(entries=(entry,))
-        await anyio.sleep(DRAIN_TIME)
+        await anyio.sleep(DRAIN_SECONDS)
         while endpoint.load:
             await anyio.sleep(0.01)
         del self.endpoints[endpoint.name]
@@ -341,15 +352,15 @@
             }
         )
         for router in self.routers:
-            self.tasks.start_soon(self._tell_late, router, read)
+            self.tasks.start_soon(self._deliver_update, router, read)
 
-    async def _tell_late(self, router: Router, read: EndpointsUpdate) -> None:
+    async def _deliver_update(self, router: Router, read: EndpointsUpdate) -> None:
         parts = router.parts
-        await anyio.sleep(self.dice.uniform(*NEWS_TIME))
+        await anyio.sleep(self.generator.uniform(*UPDATE_DELAY_SECONDS))
         if parts is not None:
             parts.state.view.apply_endpoints_update(update=read)
 
-    def _tell_all(self, parts: Components) -> None:
+    def _deliver_snapshot(self, parts: Components) -> None:
         parts.state.view.apply_endpoints_update(
             update=EndpointsUpdate(
                 revision=Revision(self.revision),
@@ -361,8 +372,8 @@
 
 async def play(
     *,
-    fleet: OwnedFleet,
-    script: Callable[[OwnedFleet], Coroutine[Any, Any, None]],
+    fleet: SimulatedFleet,
+    script: Callable[[SimulatedFleet], Coroutine[Any, Any, None]],
     seconds: float,
 ) -> None:
     """Start a fleet, and send it requests while a script goes on.
--- a/dotterelpaddle/tests/owners/test_incident.py
+++ b/dotterelpaddle/tests/owners/test_incident.py
@@ -29,7 +29,7 @@
     local_decision_share,
     worst_over_bound_share,
 )
-from dotterelpaddle.tests.owners.fleet import OwnedFleet, play
+from dotterelpaddle.tests.owners.fleet import SimulatedFleet, simulate_fleet
 from dotterelpaddle.tests.owners.hosts import DOMAINS
 from dotterelpaddle.tests.virtual_time import run_in_virtual_time
 
@@ -51,44 +51,44 @@
 
 def _play(script, **fields) -> tuple[Arrival, ...]:
     async def main() -> tuple[Arrival, ...]:
-        fleet = OwnedFleet(**fields)
-        await play(fleet=fleet, script=script, seconds=SECONDS)
+        fleet = SimulatedFleet(**fields)
+        await simulate_fleet(fleet=fleet, script=script, seconds=SECONDS)
         return tuple(fleet.arrivals)
 
     return run_in_virtual_time(main)
 
 
-async def _endpoints_come_and_go(fleet: OwnedFleet) -> None:
+async def _endpoints_come_and_go(fleet: SimulatedFleet) -> None:
     await fleet.add_endpoints(count=12)
     await anyio.sleep(2.0)
     await fleet.replace_endpoints(count=8, pause=1.5)
 
 
-async def _routers_stop_in_turn(fleet: OwnedFleet) -> None:
+async def _routers_stop_in_turn(fleet: SimulatedFleet) -> None:
     """All of them, owners and aggregators too, while endpoints are replaced."""
     async with anyio.create_task_group() as tasks:
         tasks.start_soon(lambda: fleet.replace_endpoints(count=8, pause=1.5))
         await anyio.sleep(1.0)
         routers = list(fleet.routers)
-        fleet.dice.shuffle(routers)
+        fleet.generator.shuffle(routers)
         await fleet.restart_routers(routers=routers, pause=0.08)
 
 
-async def _two_owners_are_slow(fleet: OwnedFleet) -> None:
+async def _two_owners_are_slow(fleet: SimulatedFleet) -> None:
     await _owners_are_slow(fleet, count=2)
 
 
-async def _all_owners_are_slow(fleet: OwnedFleet) -> None:
+async def _all_owners_are_slow(fleet: SimulatedFleet) -> None:
     await _owners_are_slow(fleet, count=len(DOMAINS))
 
 
-async def _owners_are_slow(fleet: OwnedFleet, *, count: int) -> None:
+async def _owners_are_slow(fleet: SimulatedFleet, *, count: int) -> None:
     await anyio.sleep(WARM_UP)
     for router in list(fleet.owners().values())[:count]:
         router.slowness = SLOW_HOST
 
 
-async def _owners_stop_at_once(fleet: OwnedFleet) -> None:
+async def _owners_stop_at_once(fleet: SimulatedFleet) -> None:
     """Those of all failure domains, and later those that follow them."""
     await anyio.sleep(2.0)
     await fleet.restart_routers(routers=list(fleet.owners().values()), pause=0.0)
--- a/dotterelpaddle/tests/owners/test_starts.py
+++ b/dotterelpaddle/tests/owners/test_starts.py
@@ -12,7 +12,7 @@
 import pytest
 
 from dotterelpaddle.peers.directory import PEER_TIMEOUT_SECONDS
-from dotterelpaddle.tests.owners.fleet import OwnedFleet
+from dotterelpaddle.tests.owners.fleet import SimulatedFleet
 from dotterelpaddle.tests.owners.hosts import DOMAINS, Router
 from dotterelpaddle.tests.virtual_time import run_in_virtual_time
 
@@ -23,12 +23,12 @@
 SECONDS = 4.0
 
 
-async def _start_late(fleet: OwnedFleet, router: Router) -> None:
-    await anyio.sleep(fleet.dice.uniform(0.0, SPREAD))
+async def _start_late(fleet: SimulatedFleet, router: Router) -> None:
+    await anyio.sleep(fleet.generator.uniform(0.0, SPREAD))
     await fleet.run_host(router)
 
 
-def _agree(fleet: OwnedFleet) -> bool:
+def _agree(fleet: SimulatedFleet) -> bool:
     """Whether all routers name the same owner of each failure domain."""
     owners = []
     for router in fleet.routers:
@@ -41,7 +41,7 @@
     )
 
 
-async def _agreed_at(fleet: OwnedFleet) -> float:
+async def _agreed_at(fleet: SimulatedFleet) -> float:
     """Seconds after which they no longer differ."""
     differed_at = 0.0
     async with anyio.create_task_group() as tasks:
@@ -58,7 +58,7 @@
 
 @pytest.mark.parametrize("seed", [1, 2, 3, 4])
 def test_routers_that_start_at_once_soon_agree_on_owners(seed: int) -> None:
-    fleet = OwnedFleet(seed=seed)
+    fleet = SimulatedFleet(seed=seed)
 
     assert (
         run_in_virtual_time(lambda: _agreed_at(fleet)) <= SPREAD + PEER_TIMEOUT_SECONDS
