--- a/dotterelpaddle/tests/forwarding/crash_world.py
+++ b/dotterelpaddle/tests/forwarding/crash_world.py
@@ -33,7 +33,7 @@
 from dotterelpaddle.tests.memory_network import MemoryNetwork
 from dotterelpaddle.tests.owners.hosts import (
     DOMAINS,
-    LINK,
+    LINK_MBITS,
     HostDatagrams,
     Router,
     build_router,
@@ -152,7 +152,9 @@
         self._documents = PlatformDocumentDecoder()
         self._configuration = orjson.dumps(configuration())
         self.hosts = [
-            Router(number=number, domain=DOMAINS[number % len(DOMAINS)], link=LINK)
+            Router(
+                number=number, domain=DOMAINS[number % len(DOMAINS)], link=LINK_MBITS
+            )
             for number in range(self.routers)
         ]
         self._by_address = {host.address: host for host in self.hosts}
@@ -274,7 +276,7 @@
     async def _deliver(self, datagram: bytes, sender: Router, target: Router) -> None:
         await anyio.sleep(PACKET_DELAY_SECONDS)
         if target.datagrams is not None and self.reaches(sender, target):
-            await target.datagrams.arrive(datagram=datagram, sender=sender.address)
+            await target.datagrams.deliver(datagram=datagram, sender=sender.address)
 
     def is_calm(self, host: Router) -> bool:
         """Tell whether a router has run and been reached by others for a while."""
--- a/dotterelpaddle/tests/owners/fleet.py
+++ b/dotterelpaddle/tests/owners/fleet.py
@@ -30,11 +30,11 @@
     Arrival,
 )
 from dotterelpaddle.tests.owners.hosts import (
-    BETTER_LINK,
+    CROSS_DOMAIN_SECONDS,
     DOMAINS,
-    FAR,
-    LINK,
-    NEAR,
+    FAST_LINK_MBITS,
+    IN_DOMAIN_SECONDS,
+    LINK_MBITS,
     HostDatagrams,
     Router,
     build_router,
@@ -115,7 +115,7 @@
             Router(
                 number=number,
                 domain=DOMAINS[number % len(DOMAINS)],
-                link=BETTER_LINK if number < 2 * len(DOMAINS) else LINK,
+                link=FAST_LINK_MBITS if number < 2 * len(DOMAINS) else LINK_MBITS,
             )
             for number in range(routers)
         ]
@@ -269,10 +269,10 @@
     async def _deliver(self, datagram: bytes, sender: Router, target: Router) -> None:
         await anyio.sleep(self._latency(sender, target.domain))
         if target.datagrams is not None:
-            await target.datagrams.arrive(datagram=datagram, sender=sender.address)
+            await target.datagrams.deliver(datagram=datagram, sender=sender.address)
 
     def _latency(self, router: Router, domain: FailureDomain) -> float:
-        least = NEAR if router.domain == domain else FAR
+        least = IN_DOMAIN_SECONDS if router.domain == domain else CROSS_DOMAIN_SECONDS
         return least * self.generator.uniform(1.0, 1.5)
 
     async def run_host(self, router: Router) -> None:
--- a/dotterelpaddle/tests/owners/hosts.py
+++ b/dotterelpaddle/tests/owners/hosts.py
@@ -25,16 +25,16 @@
 
 DOMAINS = tuple(FailureDomain(name) for name in ("a", "b", "c"))
 SEEDS = 3
-LINK, BETTER_LINK = 10, 200
+LINK_MBITS, FAST_LINK_MBITS = 10, 200
 """Mbit/s; the first two routers of each failure domain have the better ones."""
 
-FAR, NEAR = 0.0014, 0.0002
+CROSS_DOMAIN_SECONDS, IN_DOMAIN_SECONDS = 0.0014, 0.0002
 """Seconds that a packet takes between two failure domains, and within one."""
 
-PROCESSING = 0.0006
+DATAGRAM_PROCESSING_SECONDS = 0.0006
 """Seconds that a host of half a core spends on a datagram."""
 
-BALANCER_TIME = 1.5
+BALANCER_DELAY_SECONDS = 1.5
 """Seconds until callers no longer come to a router that has said that it stops."""
 
 SEED_ADDRESSES = tuple(Address(host=f"10.0.0.{seed}", port=1) for seed in range(SEEDS))
@@ -59,10 +59,10 @@
     async def send(self, datagram: bytes, target: Address) -> None:
         self._send(datagram, self._router, target)
 
-    async def arrive(self, *, datagram: bytes, sender: Address) -> None:
+    async def deliver(self, *, datagram: bytes, sender: Address) -> None:
         """Hand a datagram to the process when its host has come to it."""
         now = anyio.current_time()
-        spent = PROCESSING * self._router.slowness
+        spent = DATAGRAM_PROCESSING_SECONDS * self._router.slowdown
         self._busy_until = max(self._busy_until, now) + spent
         await anyio.sleep_until(self._busy_until)
         self._incoming.send_nowait((datagram, sender))
@@ -73,7 +73,7 @@
     """A host with a router, which may stop and start again.
 
     Attributes:
-        slowness: Times as long as others its host takes for a datagram.
+        slowdown: Times as long as others its host takes for a datagram.
     """
 
     number: int
@@ -84,7 +84,7 @@
     stopping: anyio.Event = field(default_factory=anyio.Event)
     stopping_since: float = float("inf")
     in_flight: int = 0
-    slowness: float = 1.0
+    slowdown: float = 1.0
 
     @property
     def name(self) -> RouterId:
@@ -99,7 +99,7 @@
         """Whether the balancer sends callers there."""
         if self.parts is None or not self.parts.state.view.entries:
             return False
-        return anyio.current_time() < self.stopping_since + BALANCER_TIME
+        return anyio.current_time() < self.stopping_since + BALANCER_DELAY_SECONDS
 
 
 def build_router(
--- a/dotterelpaddle/tests/owners/test_incident.py
+++ b/dotterelpaddle/tests/owners/test_incident.py
@@ -85,7 +85,7 @@
 async def _owners_are_slow(fleet: SimulatedFleet, *, count: int) -> None:
     await anyio.sleep(WARM_UP)
     for router in list(fleet.owners().values())[:count]:
-        router.slowness = SLOW_HOST
+        router.slowdown = SLOW_HOST
 
 
 async def _owners_stop_at_once(fleet: SimulatedFleet) -> None:
