--- a/dotterelpaddle/tests/owners/test_counts.py
+++ b/dotterelpaddle/tests/owners/test_counts.py
@@ -16,7 +16,7 @@
     decode,
     encode,
 )
-from dotterelpaddle.tests.owners.world import AskingRouter, World, total
+from dotterelpaddle.tests.owners.world import OwnerHarness, RequestingRouter, total
 
 if TYPE_CHECKING:
     from dotterelpaddle.owners.telling import PendingGrant
@@ -30,9 +30,10 @@
 
     def __init__(self) -> None:
         super().__init__()
-        self.world = World(endpoints=3)
+        self.world = OwnerHarness(endpoints=3)
         self.routers = [
-            AskingRouter(name=f"router-{n}", world=self.world) for n in range(ROUTERS)
+            RequestingRouter(name=f"router-{n}", harness=self.world)
+            for n in range(ROUTERS)
         ]
         self.to_owner: list[tuple[int, bytes]] = []
         self.to_router: list[tuple[int, bytes]] = []
@@ -40,13 +41,15 @@
 
     @rule(index=INDEX)
     def ask(self, index: int) -> None:
-        asked, question = self.routers[index].question(must=True)
+        asked, question = self.routers[index].open_request(ignore_bound=True)
         self.open[index, asked.number] = asked
         self.to_owner.append((index, encode(message=question)))
 
     @rule(index=INDEX)
     def tell(self, index: int) -> None:
-        self.to_owner.append((index, encode(message=self.routers[index].held())))
+        self.to_owner.append(
+            (index, encode(message=self.routers[index].build_report()))
+        )
 
     @rule(index=INDEX, endpoint=st.integers(min_value=0, max_value=2))
     def begin_without_asking(self, index: int, endpoint: int) -> None:
@@ -60,7 +63,7 @@
     @rule(index=INDEX)
     def give_up_waiting(self, index: int) -> None:
         for key in [key for key in self.open if key[0] == index]:
-            self.routers[index].requests.abandon(pending=self.open.pop(key))
+            self.routers[index].reporter.abandon(pending=self.open.pop(key))
 
     @rule(place=st.integers(min_value=0), twice=st.booleans())
     def deliver_to_owner(self, place: int, twice: bool) -> None:
@@ -86,9 +89,9 @@
         assert isinstance(grant, Grant)
         asked = self.open.pop((index, grant.number), None)
         if asked is None:
-            self.routers[index].requests.resolve(grant=grant)
+            self.routers[index].reporter.resolve(grant=grant)
         else:
-            self.routers[index].take_in(asked=asked, grant=grant)
+            self.routers[index].apply_grant(pending=asked, grant=grant)
 
     @rule(place=st.integers(min_value=0))
     def lose(self, place: int) -> None:
@@ -112,14 +115,14 @@
         """One message of each that arrives makes good whatever went before."""
         self.to_owner.clear()
         for key in list(self.open):
-            self.routers[key[0]].requests.abandon(pending=self.open.pop(key))
+            self.routers[key[0]].reporter.abandon(pending=self.open.pop(key))
         for router in self.routers:
             self.world.owner.record_report(report=decode_held(router))
         assert Counter(self.world.counts.loads) == total(self.routers)
 
 
-def decode_held(router: AskingRouter) -> InFlightReport:
-    held = decode(datagram=encode(message=router.held()))
+def decode_held(router: RequestingRouter) -> InFlightReport:
+    held = decode(datagram=encode(message=router.build_report()))
     assert isinstance(held, InFlightReport)
     return held
 
@@ -129,21 +132,21 @@
 
 
 def test_grant_counts_at_once_and_is_replaced_by_what_its_router_tells() -> None:
-    world = World()
-    router = AskingRouter(name="router", world=world)
-    asked, question = router.question()
+    world = OwnerHarness()
+    router = RequestingRouter(name="router", harness=world)
+    asked, question = router.open_request()
     grant = world.owner.decide(request=question)
     before = Counter(world.counts.loads)
-    router.take_in(asked=asked, grant=grant)
-    world.owner.record_report(report=router.held())
+    router.apply_grant(pending=asked, grant=grant)
+    world.owner.record_report(report=router.build_report())
 
     assert before == Counter(world.counts.loads) == Counter([grant.endpoint])
 
 
 def test_doubled_question_is_counted_once() -> None:
-    world = World()
-    router = AskingRouter(name="router", world=world)
-    _, question = router.question()
+    world = OwnerHarness()
+    router = RequestingRouter(name="router", harness=world)
+    _, question = router.open_request()
     world.owner.decide(request=question)
     world.owner.decide(request=question)
 
@@ -151,11 +154,11 @@
 
 
 def test_counts_settle_after_all_had_time_to_tell() -> None:
-    world = World()
-    router = AskingRouter(name="router", world=world)
-    world.owner.record_report(report=router.held())
+    world = OwnerHarness()
+    router = RequestingRouter(name="router", harness=world)
+    world.owner.record_report(report=router.build_report())
     world.now += REPORT_INTERVAL_SECONDS
-    world.owner.record_report(report=router.held())
+    world.owner.record_report(report=router.build_report())
     soon = world.counts.warmed_up
     world.now += REPORT_TTL_SECONDS
     later = world.counts.warmed_up
@@ -164,11 +167,11 @@
 
 
 def test_late_message_does_not_undo_a_later_one() -> None:
-    world = World()
-    router = AskingRouter(name="router", world=world)
-    early = router.held()
+    world = OwnerHarness()
+    router = RequestingRouter(name="router", harness=world)
+    early = router.build_report()
     router.begin(endpoint=world.endpoints[0])
-    world.owner.record_report(report=router.held())
+    world.owner.record_report(report=router.build_report())
     world.owner.record_report(report=early)
 
     assert Counter(world.counts.loads) == Counter([world.endpoints[0]])
--- a/dotterelpaddle/tests/owners/test_owner.py
+++ b/dotterelpaddle/tests/owners/test_owner.py
@@ -18,8 +18,8 @@
 from dotterelpaddle.tests.owners.world import (
     SLOTS,
     THERE,
-    AskingRouter,
-    World,
+    OwnerHarness,
+    RequestingRouter,
     total,
 )
 
@@ -28,26 +28,28 @@
 """What users allow an endpoint: twice the mean of its service and three requests."""
 
 
-def _routers(world: World, count: int = ROUTERS) -> list[AskingRouter]:
-    return [AskingRouter(name=f"router-{n}", world=world) for n in range(count)]
+def _routers(world: OwnerHarness, count: int = ROUTERS) -> list[RequestingRouter]:
+    return [RequestingRouter(name=f"router-{n}", harness=world) for n in range(count)]
 
 
-def _settle(world: World, routers: list[AskingRouter]) -> None:
+def _settle(world: OwnerHarness, routers: list[RequestingRouter]) -> None:
     """Let the owner hear from all for as long as it takes to believe its counts."""
     until = world.now + REPORT_TTL_SECONDS
     while world.now < until:
         for router in routers:
-            world.owner.record_report(report=router.held())
+            world.owner.record_report(report=router.build_report())
         world.now += REPORT_INTERVAL_SECONDS
 
 
-def _ask(world: World, router: AskingRouter, *, must: bool = True) -> str | None:
-    asked, question = router.question(must=must)
-    return router.take_in(asked=asked, grant=world.owner.decide(request=question))
+def _ask(
+    world: OwnerHarness, router: RequestingRouter, *, must: bool = True
+) -> str | None:
+    asked, question = router.open_request(ignore_bound=must)
+    return router.apply_grant(pending=asked, grant=world.owner.decide(request=question))
 
 
 def test_burst_at_many_routers_overloads_no_endpoint() -> None:
-    world = World()
+    world = OwnerHarness()
     routers = _routers(world)
     _settle(world, routers)
     for router in routers:
@@ -59,10 +61,10 @@
 
 
 def test_first_readers_of_a_prompt_at_many_routers_share_one_read() -> None:
-    world = World()
+    world = OwnerHarness()
     routers = _routers(world, 8)
     _settle(world, routers)
-    questions = [router.question() for router in routers]
+    questions = [router.open_request() for router in routers]
     grants = [world.owner.decide(request=question) for _, question in questions]
 
     read = [grant for grant in grants if grant.missing and grant.fetch_from is None]
@@ -71,7 +73,7 @@
 
 
 def test_shard_that_is_full_sends_on_unless_it_must_not() -> None:
-    world = World()
+    world = OwnerHarness()
     routers = _routers(world)
     _settle(world, routers)
     for router in routers[: SLOTS * len(world.endpoints)]:
@@ -84,31 +86,31 @@
             last.begin(endpoint=endpoint)
     for _ in range(5):
         last.begin(endpoint=world.endpoints[0])
-    world.owner.record_report(report=last.held())
+    world.owner.record_report(report=last.build_report())
 
-    asked, question = last.question(must=True)
+    asked, question = last.open_request(ignore_bound=True)
     granted = world.owner.decide(request=question)
     assert granted.endpoint not in (None, world.endpoints[0])
 
 
 def test_endpoint_that_the_asking_router_can_not_use_is_not_chosen() -> None:
-    world = World(endpoints=2)
+    world = OwnerHarness(endpoints=2)
     (router,) = _routers(world, 1)
-    _, question = router.question(excluded=frozenset({world.endpoints[0]}))
+    _, question = router.open_request(excluded=frozenset({world.endpoints[0]}))
     grant = world.owner.decide(request=question)
     assert grant.endpoint == world.endpoints[1]
 
 
 def test_new_owner_goes_by_the_greater_count_until_all_have_told() -> None:
     """What reports tell counts while routers have not told the new owner yet."""
-    world = World()
+    world = OwnerHarness()
     routers = _routers(world, 12)
     _settle(world, routers)
     for router in routers:
         _ask(world, router)
     world.restart_owner()
     for router in routers[:6]:
-        world.owner.record_report(report=router.held())
+        world.owner.record_report(report=router.build_report())
     assert not world.counts.warmed_up
     _settle(world, routers)
     assert world.counts.warmed_up
@@ -117,14 +119,14 @@
 
 def test_owner_that_stands_in_counts_what_routers_have_elsewhere() -> None:
     """Routers tell it of the other failure domain too, which it never counted."""
-    world = World(endpoints=4, there=4)
+    world = OwnerHarness(endpoints=4, there=4)
     routers = _routers(world, 12)
     for router in routers:
         router.begin(endpoint=world.others[0])
     _settle(world, routers)
-    asked, question = routers[0].question(shard=THERE)
-    endpoint = routers[0].take_in(
-        asked=asked, grant=world.owner.decide(request=question)
+    asked, question = routers[0].open_request(shard=THERE)
+    endpoint = routers[0].apply_grant(
+        pending=asked, grant=world.owner.decide(request=question)
     )
 
     assert endpoint in world.others[1:]
@@ -132,18 +134,18 @@
 
 def test_owner_that_stands_in_goes_by_the_greater_count() -> None:
     """Some routers may still ask the owner itself, and be told of by reports alone."""
-    world = World(endpoints=4, there=4)
+    world = OwnerHarness(endpoints=4, there=4)
     routers = _routers(world, 3)
     _settle(world, routers)
     told = RequestTotals(loads=dict.fromkeys(world.others[:3], SLOTS))
     world.shares.receive(router=RouterId("far"), failure_domain=THERE, totals=told)
-    _, question = routers[0].question(shard=THERE)
+    _, question = routers[0].open_request(shard=THERE)
 
     assert world.owner.decide(request=question).endpoint == world.others[3]
 
 
 def test_requests_of_a_router_that_ended_are_forgotten() -> None:
-    world = World()
+    world = OwnerHarness()
     (router,) = _routers(world, 1)
     _ask(world, router)
     world.now += REPORT_TTL_SECONDS + 0.1
@@ -158,18 +160,18 @@
 
 
 def test_plain_requests_are_counted_exactly_too() -> None:
-    world = World(endpoints=3)
+    world = OwnerHarness(endpoints=3)
     routers = _routers(world, 30)
     _settle(world, routers)
     for router in routers:
-        asked, question = router.question(request=make_request(), must=True)
-        router.take_in(asked=asked, grant=world.owner.decide(request=question))
+        asked, question = router.open_request(request=make_request(), ignore_bound=True)
+        router.apply_grant(pending=asked, grant=world.owner.decide(request=question))
     assert set(total(routers).values()) == {10}
 
 
 def test_full_shard_tells_where_the_prompt_can_be_fetched_from() -> None:
     """The second owner lets it be fetched instead of read again."""
-    first, second = World(endpoints=4), World(endpoints=4)
+    first, second = OwnerHarness(endpoints=4), OwnerHarness(endpoints=4)
     (router,) = _routers(first, 1)
     _settle(first, [router])
     holder = _ask(first, router)
@@ -193,9 +195,9 @@
             is_snapshot=True,
         )
     )
-    _, question = router.question(must=False)
+    _, question = router.open_request(ignore_bound=False)
     refusal = first.owner.decide(request=question)
-    _, question = router.question(must=True, cached_at=refusal.fetch_from)
+    _, question = router.open_request(ignore_bound=True, cached_at=refusal.fetch_from)
     grant = second.owner.decide(request=question)
 
     assert refusal.endpoint is None
--- a/dotterelpaddle/tests/owners/test_telling.py
+++ b/dotterelpaddle/tests/owners/test_telling.py
@@ -7,15 +7,20 @@
 from __future__ import annotations
 
 from dotterelpaddle.owners.counts import REPORT_INTERVAL_SECONDS, REPORT_TTL_SECONDS
-from dotterelpaddle.tests.owners.world import HERE, THERE, AskingRouter, World
+from dotterelpaddle.tests.owners.world import (
+    HERE,
+    THERE,
+    OwnerHarness,
+    RequestingRouter,
+)
 
 PAUSE = 0.1
 """Seconds between short requests."""
 
 
-def _router() -> tuple[World, AskingRouter]:
-    world = World(endpoints=4, there=4)
-    return world, AskingRouter(name="router", world=world)
+def _router() -> tuple[OwnerHarness, RequestingRouter]:
+    world = OwnerHarness(endpoints=4, there=4)
+    return world, RequestingRouter(name="router", harness=world)
 
 
 def test_owner_of_a_long_stream_hears_of_it_whatever_goes_on_elsewhere() -> None:
@@ -26,8 +31,8 @@
         router.begin(endpoint=world.endpoints[0])
         router.end(1)
         world.now += PAUSE
-        for domain in router.requests.take_due_domains():
-            router.requests.build_report(domain=domain)
+        for domain in router.reporter.take_due_domains():
+            router.reporter.build_report(domain=domain)
             if domain == THERE:
                 longest = max(longest, world.now - last_told)
                 last_told = world.now
@@ -38,25 +43,25 @@
 
 def test_owner_that_granted_a_request_need_not_be_told_of_it_at_once() -> None:
     world, router = _router()
-    asked, question = router.question()
-    router.take_in(asked=asked, grant=world.owner.decide(request=question))
+    asked, question = router.open_request()
+    router.apply_grant(pending=asked, grant=world.owner.decide(request=question))
 
-    assert router.requests.take_due_domains() == set()
+    assert router.reporter.take_due_domains() == set()
 
 
 def test_end_of_a_request_is_told_at_once() -> None:
     world, router = _router()
-    asked, question = router.question()
-    router.take_in(asked=asked, grant=world.owner.decide(request=question))
+    asked, question = router.open_request()
+    router.apply_grant(pending=asked, grant=world.owner.decide(request=question))
     router.end(0)
 
-    assert router.requests.take_due_domains() == {HERE}
-    assert router.requests.take_due_domains() == set()
+    assert router.reporter.take_due_domains() == {HERE}
+    assert router.reporter.take_due_domains() == set()
 
 
 def test_nothing_in_flight_is_not_told_again() -> None:
     world, router = _router()
-    router.held()
+    router.build_report()
     world.now += 2 * REPORT_INTERVAL_SECONDS
 
-    assert router.requests.take_due_domains() == set()
+    assert router.reporter.take_due_domains() == set()
--- a/dotterelpaddle/tests/owners/world.py
+++ b/dotterelpaddle/tests/owners/world.py
@@ -46,7 +46,7 @@
 PROMPT = make_request(("system", 500), ("subject", 9000))
 
 
-class World:
+class OwnerHarness:
     """What all routers know, the owner, and a clock that tests turn."""
 
     def __init__(self, *, endpoints: int = 6, there: int = 0) -> None:
@@ -103,38 +103,38 @@
         )
 
 
-class AskingRouter:
+class RequestingRouter:
     """A router with requests in flight."""
 
-    def __init__(self, *, name: str, world: World) -> None:
-        self._world = world
-        shares = TotalsTracker(failure_domain=HERE, clock=world.clock)
+    def __init__(self, *, name: str, harness: OwnerHarness) -> None:
+        self._harness = harness
+        shares = TotalsTracker(failure_domain=HERE, clock=harness.clock)
         self.loads = LoadTracker(shares=shares)
-        self.requests = InFlightReporter(
+        self.reporter = InFlightReporter(
             router=RouterId(name),
             loads=self.loads,
-            shards=ShardMap(view=world.view),
-            clock=world.clock,
+            shards=ShardMap(view=harness.view),
+            clock=harness.clock,
         )
         self.in_flight: list[ExitStack] = []
 
-    def held(self) -> InFlightReport:
-        return self.requests.build_report(domain=HERE)
+    def build_report(self) -> InFlightReport:
+        return self.reporter.build_report(domain=HERE)
 
-    def question(
+    def open_request(
         self,
         *,
         request: ForwardRequest = PROMPT,
-        must: bool = False,
+        ignore_bound: bool = False,
         shard: FailureDomain = HERE,
         excluded: frozenset[EndpointId] = frozenset(),
         cached_at: EndpointId | None = None,
     ) -> tuple[PendingGrant, GrantRequest]:
         """Begin a question."""
-        asked = self.requests.open_request(owner=RouterId("owner"))
+        asked = self.reporter.open_request(owner=RouterId("owner"))
         question = GrantRequest(
             number=asked.number,
-            report=self.held(),
+            report=self.build_report(),
             query=PlacementQuery(
                 service=SERVICE,
                 shard=shard,
@@ -142,20 +142,20 @@
                 prompt=request.prompt,
                 repeatable=True,
                 excluded=excluded,
-                ignore_bound=must,
+                ignore_bound=ignore_bound,
                 cached_at=cached_at,
             ),
         )
         return asked, question
 
-    def take_in(self, *, asked: PendingGrant, grant: Grant) -> EndpointId | None:
+    def apply_grant(self, *, pending: PendingGrant, grant: Grant) -> EndpointId | None:
         """Hear an answer in time, and begin the request."""
-        self.requests.resolve(grant=grant)
-        if asked.grant is None or asked.grant.endpoint is None:
-            self.requests.abandon(pending=asked)
+        self.reporter.resolve(grant=grant)
+        if pending.grant is None or pending.grant.endpoint is None:
+            self.reporter.abandon(pending=pending)
             return None
-        self.begin(endpoint=asked.grant.endpoint)
-        return asked.grant.endpoint
+        self.begin(endpoint=pending.grant.endpoint)
+        return pending.grant.endpoint
 
     def begin(self, *, endpoint: EndpointId) -> None:
         stack = ExitStack()
@@ -166,7 +166,7 @@
         self.in_flight.pop(index).close()
 
 
-def total(routers: list[AskingRouter]) -> Counter[EndpointId]:
+def total(routers: list[RequestingRouter]) -> Counter[EndpointId]:
     """Requests that are really in flight."""
     loads: Counter[EndpointId] = Counter()
     for router in routers:
