--- a/dotterelpaddle/tests/memory_network.py
+++ b/dotterelpaddle/tests/memory_network.py
@@ -27,10 +27,10 @@
 ANY_PEER = Address(host="10.0.0.0", port=1)
 """Stands for an endpoint where links are never cut."""
 
-TICK = 1e-6
+MIN_WAIT_SECONDS = 1e-6
 """Least seconds that a wait takes; less may leave a virtual clock as it is."""
 
-LATENCY = 0.001
+CONNECT_SECONDS = 0.001
 """Seconds until a connection stands, or is refused."""
 
 
@@ -53,7 +53,7 @@
     async def read(self, max_bytes: int, timeout: float | None = None) -> bytes:
         """Read what has come, empty at the end."""
         if timeout is not None:
-            timeout = max(timeout, TICK)
+            timeout = max(timeout, MIN_WAIT_SECONDS)
         try:
             with anyio.fail_after(timeout):
                 return await self._incoming.receive()
@@ -140,7 +140,7 @@
         Raises:
             httpcore.ConnectError: If nobody listens there.
         """
-        await anyio.sleep(LATENCY)
+        await anyio.sleep(CONNECT_SECONDS)
         handler = self._handlers.get((host, port))
         if handler is None:
             raise httpcore.ConnectError("Connect call failed")
