--- a/dotterelpaddle/tests/owners/test_routers.py
+++ b/dotterelpaddle/tests/owners/test_routers.py
@@ -27,30 +27,30 @@
     monkeypatch.setattr(plan, "MOST_IN_MESH", 2)
 
 
-class Heard:
+class OwnerProbe:
     """Records what an owner hears, and may keep it from answering."""
 
     def __init__(self, *, fleet: Fleet, place: int) -> None:
-        self.questions: list[GrantRequest] = []
-        self.answers = True
+        self.requests: list[GrantRequest] = []
+        self.responding = True
         owner = fleet.routers[place].parts.owners
         receive = owner.receive
 
         async def _receive(*, datagram: bytes, address: object) -> None:
-            if self.answers:
+            if self.responding:
                 await receive(datagram=datagram, address=address)  # type: ignore[arg-type]
 
         answer = owner._owner.decide
 
         def _answer(*, question: GrantRequest):
-            self.questions.append(question)
+            self.requests.append(question)
             return answer(question=question)
 
         owner.receive = _receive  # type: ignore[method-assign]
         owner._owner.decide = _answer  # type: ignore[method-assign]
 
 
-async def _start(fleet: Fleet) -> Heard:
+async def _start(fleet: Fleet) -> OwnerProbe:
     await fleet.add_runner("runner-2")
     for link in (100, 100, 10, 1):
         await fleet.add_router(link=link)
@@ -59,7 +59,7 @@
         directory = router.parts.state.directory
         await wait_until(lambda d=directory: _owner(d) == owner)
         await wait_until(lambda r=router: r.parts.app.ready)
-    return Heard(fleet=fleet, place=OWNER)
+    return OwnerProbe(fleet=fleet, place=OWNER)
 
 
 def _owner(directory) -> RouterId | None:
@@ -73,7 +73,7 @@
         answer = await fleet.call("/unsafe/", router=ASKING)
 
     assert answer.status == 200
-    assert [question.report.router for question in heard.questions] == ["router-4"]
+    assert [question.report.router for question in heard.requests] == ["router-4"]
 
 
 async def test_requests_of_all_routers_are_spread_exactly() -> None:
@@ -85,7 +85,7 @@
                 tasks.start_soon(_call, fleet, place)
         counts = sorted(len(runner.runs) for runner in fleet.runners.values())
 
-    assert len(heard.questions) == len(fleet.routers)
+    assert len(heard.requests) == len(fleet.routers)
     assert counts[-1] - counts[0] <= 2
 
 
@@ -97,7 +97,7 @@
 async def test_router_decides_by_itself_while_the_owner_is_silent() -> None:
     async with run_fleet(routers=0) as fleet:
         heard = await _start(fleet)
-        heard.answers = False
+        heard.responding = False
         first = await fleet.call("/unsafe/", router=ASKING)
         asked = fleet.routers[ASKING].parts.owners._cooldown_until
         second = await fleet.call("/unsafe/", router=ASKING)
@@ -130,4 +130,4 @@
 
     assert answer.status == 200
     assert not fleet.runners["runner-1"].runs
-    assert [question.query.excluded for question in heard.questions] == [{leaving}]
+    assert [question.query.excluded for question in heard.requests] == [{leaving}]
