--- a/dotterelpaddle/tests/owners/test_starts.py
+++ b/dotterelpaddle/tests/owners/test_starts.py
@@ -16,15 +16,15 @@
 from dotterelpaddle.tests.owners.hosts import DOMAINS, Router
 from dotterelpaddle.tests.virtual_time import run_in_virtual_time
 
-SPREAD = 0.3
+START_SPREAD_SECONDS = 0.3
 """Seconds within which hosts start."""
 
-LOOK_PAUSE = 0.05
+POLL_SECONDS = 0.05
 SECONDS = 4.0
 
 
 async def _start_late(fleet: SimulatedFleet, router: Router) -> None:
-    await anyio.sleep(fleet.generator.uniform(0.0, SPREAD))
+    await anyio.sleep(fleet.generator.uniform(0.0, START_SPREAD_SECONDS))
     await fleet.run_host(router)
 
 
@@ -49,7 +49,7 @@
         for router in fleet.routers:
             tasks.start_soon(_start_late, fleet, router)
         while anyio.current_time() < SECONDS:
-            await anyio.sleep(LOOK_PAUSE)
+            await anyio.sleep(POLL_SECONDS)
             if not _agree(fleet):
                 differed_at = anyio.current_time()
         tasks.cancel_scope.cancel()
@@ -61,5 +61,6 @@
     fleet = SimulatedFleet(seed=seed)
 
     assert (
-        run_in_virtual_time(lambda: _agreed_at(fleet)) <= SPREAD + PEER_TIMEOUT_SECONDS
+        run_in_virtual_time(lambda: _agreed_at(fleet))
+        <= START_SPREAD_SECONDS + PEER_TIMEOUT_SECONDS
     )
