--- a/dotterelpaddle/tests/owners/test_incident.py
+++ b/dotterelpaddle/tests/owners/test_incident.py
@@ -33,26 +33,26 @@
 from dotterelpaddle.tests.owners.hosts import DOMAINS
 from dotterelpaddle.tests.virtual_time import run_in_virtual_time
 
-ALLOWED = 0.03
-AIM = 0.01
+MAX_SHARE = 0.03
+TARGET_SHARE = 0.01
 """Share of the requests of any five seconds that reach endpoints over the bound."""
 
-START_TIME = 6.0
+START_SECONDS = 6.0
 """Seconds until the routers know each other."""
 
-WARM_UP = 4.0
+WARM_UP_SECONDS = 4.0
 """Seconds of load until most prompts have been read."""
 
-SLOW_HOST = 5.5
+SLOW_HOST_FACTOR = 5.5
 """Times as long as usual that a slow host takes, as users' hosts have done."""
 
-SECONDS = 11.0
+LOAD_SECONDS = 11.0
 
 
-def _play(script, **fields) -> tuple[Arrival, ...]:
+def _run(script, **fields) -> tuple[Arrival, ...]:
     async def main() -> tuple[Arrival, ...]:
         fleet = SimulatedFleet(**fields)
-        await simulate_fleet(fleet=fleet, script=script, seconds=SECONDS)
+        await simulate_fleet(fleet=fleet, script=script, seconds=LOAD_SECONDS)
         return tuple(fleet.arrivals)
 
     return run_in_virtual_time(main)
@@ -83,9 +83,9 @@
 
 
 async def _owners_are_slow(fleet: SimulatedFleet, *, count: int) -> None:
-    await anyio.sleep(WARM_UP)
+    await anyio.sleep(WARM_UP_SECONDS)
     for router in list(fleet.owners().values())[:count]:
-        router.slowdown = SLOW_HOST
+        router.slowdown = SLOW_HOST_FACTOR
 
 
 async def _owners_stop_at_once(fleet: SimulatedFleet) -> None:
@@ -98,43 +98,57 @@
 
 def test_routers_that_all_go_by_old_counts_overload_endpoints() -> None:
     """The incident itself: no router hears of an owner."""
-    arrivals = _play(_endpoints_come_and_go, decide_alone=True)
+    arrivals = _run(_endpoints_come_and_go, decide_alone=True)
 
     assert (
-        worst_over_bound_share(arrivals=arrivals, since=START_TIME + WARM_UP) > ALLOWED
+        worst_over_bound_share(arrivals=arrivals, since=START_SECONDS + WARM_UP_SECONDS)
+        > MAX_SHARE
     )
 
 
 def test_owners_keep_the_bound_while_endpoints_come_and_go() -> None:
-    arrivals = _play(_endpoints_come_and_go)
+    arrivals = _run(_endpoints_come_and_go)
 
-    assert worst_over_bound_share(arrivals=arrivals, since=START_TIME + WARM_UP) <= AIM
-    assert local_decision_share(arrivals=arrivals) < AIM
+    assert (
+        worst_over_bound_share(arrivals=arrivals, since=START_SECONDS + WARM_UP_SECONDS)
+        <= TARGET_SHARE
+    )
+    assert local_decision_share(arrivals=arrivals) < TARGET_SHARE
 
 
 @pytest.mark.parametrize("seed", [1, 2])
 def test_bound_is_kept_while_routers_are_stopped_in_turn(seed: int) -> None:
-    arrivals = _play(_routers_stop_in_turn, seed=seed)
+    arrivals = _run(_routers_stop_in_turn, seed=seed)
 
-    assert worst_over_bound_share(arrivals=arrivals, since=START_TIME) <= AIM
+    assert (
+        worst_over_bound_share(arrivals=arrivals, since=START_SECONDS) <= TARGET_SHARE
+    )
 
 
 @pytest.mark.parametrize("seed", [1, 2])
 def test_bound_is_kept_while_two_owners_answer_late(seed: int) -> None:
-    arrivals = _play(_two_owners_are_slow, seed=seed)
+    arrivals = _run(_two_owners_are_slow, seed=seed)
 
-    assert worst_over_bound_share(arrivals=arrivals, since=START_TIME + WARM_UP) <= AIM
+    assert (
+        worst_over_bound_share(arrivals=arrivals, since=START_SECONDS + WARM_UP_SECONDS)
+        <= TARGET_SHARE
+    )
 
 
 def test_bound_is_kept_while_all_owners_answer_late() -> None:
-    arrivals = _play(_all_owners_are_slow)
+    arrivals = _run(_all_owners_are_slow)
 
-    assert worst_over_bound_share(arrivals=arrivals, since=START_TIME + WARM_UP) <= AIM
+    assert (
+        worst_over_bound_share(arrivals=arrivals, since=START_SECONDS + WARM_UP_SECONDS)
+        <= TARGET_SHARE
+    )
 
 
 def test_owners_that_stop_hand_over_before_they_end() -> None:
     """A planned stop leaves no request without an owner that decides."""
-    arrivals = _play(_owners_stop_at_once)
+    arrivals = _run(_owners_stop_at_once)
 
-    assert worst_over_bound_share(arrivals=arrivals, since=START_TIME) <= AIM
-    assert local_decision_share(arrivals=arrivals) <= AIM
+    assert (
+        worst_over_bound_share(arrivals=arrivals, since=START_SECONDS) <= TARGET_SHARE
+    )
+    assert local_decision_share(arrivals=arrivals) <= TARGET_SHARE
