--- a/dotterelpaddle/tests/owners/test_counts.py
+++ b/dotterelpaddle/tests/owners/test_counts.py
@@ -30,19 +30,19 @@
 
     def __init__(self) -> None:
         super().__init__()
-        self.world = OwnerHarness(endpoints=3)
+        self.harness = OwnerHarness(endpoints=3)
         self.routers = [
-            RequestingRouter(name=f"router-{n}", harness=self.world)
+            RequestingRouter(name=f"router-{n}", harness=self.harness)
             for n in range(ROUTERS)
         ]
         self.to_owner: list[tuple[int, bytes]] = []
         self.to_router: list[tuple[int, bytes]] = []
-        self.open: dict[tuple[int, int], PendingGrant] = {}
+        self.pending: dict[tuple[int, int], PendingGrant] = {}
 
     @rule(index=INDEX)
     def ask(self, index: int) -> None:
         asked, question = self.routers[index].open_request(ignore_bound=True)
-        self.open[index, asked.number] = asked
+        self.pending[index, asked.number] = asked
         self.to_owner.append((index, encode(message=question)))
 
     @rule(index=INDEX)
@@ -53,7 +53,7 @@
 
     @rule(index=INDEX, endpoint=st.integers(min_value=0, max_value=2))
     def begin_without_asking(self, index: int, endpoint: int) -> None:
-        self.routers[index].begin(endpoint=self.world.endpoints[endpoint])
+        self.routers[index].begin(endpoint=self.harness.endpoints[endpoint])
 
     @rule(index=INDEX)
     def end(self, index: int) -> None:
@@ -62,8 +62,8 @@
 
     @rule(index=INDEX)
     def give_up_waiting(self, index: int) -> None:
-        for key in [key for key in self.open if key[0] == index]:
-            self.routers[index].reporter.abandon(pending=self.open.pop(key))
+        for key in [key for key in self.pending if key[0] == index]:
+            self.routers[index].reporter.abandon(pending=self.pending.pop(key))
 
     @rule(place=st.integers(min_value=0), twice=st.booleans())
     def deliver_to_owner(self, place: int, twice: bool) -> None:
@@ -75,10 +75,10 @@
             del self.to_owner[place]
         message = decode(datagram=datagram)
         if isinstance(message, GrantRequest):
-            grant = self.world.owner.decide(request=message)
+            grant = self.harness.owner.decide(request=message)
             self.to_router.append((index, encode(message=grant)))
         elif isinstance(message, InFlightReport):
-            self.world.owner.record_report(report=message)
+            self.harness.owner.record_report(report=message)
 
     @rule(place=st.integers(min_value=0))
     def deliver_to_router(self, place: int) -> None:
@@ -87,7 +87,7 @@
         index, datagram = self.to_router.pop(place % len(self.to_router))
         grant = decode(datagram=datagram)
         assert isinstance(grant, Grant)
-        asked = self.open.pop((index, grant.number), None)
+        asked = self.pending.pop((index, grant.number), None)
         if asked is None:
             self.routers[index].reporter.resolve(grant=grant)
         else:
@@ -100,28 +100,28 @@
 
     @rule()
     def change_owner(self) -> None:
-        self.world.restart_owner()
+        self.harness.restart_owner()
 
     @rule(seconds=st.floats(min_value=0.001, max_value=0.3))
     def wait(self, seconds: float) -> None:
-        self.world.now += seconds
+        self.harness.now += seconds
 
     @invariant()
     def nothing_is_counted_below_zero(self) -> None:
-        assert all(load > 0 for load in self.world.counts.loads.values())
+        assert all(load > 0 for load in self.harness.counts.loads.values())
 
     @rule()
     def all_tell_and_counts_are_exact(self) -> None:
         """One message of each that arrives makes good whatever went before."""
         self.to_owner.clear()
-        for key in list(self.open):
-            self.routers[key[0]].reporter.abandon(pending=self.open.pop(key))
+        for key in list(self.pending):
+            self.routers[key[0]].reporter.abandon(pending=self.pending.pop(key))
         for router in self.routers:
-            self.world.owner.record_report(report=decode_held(router))
-        assert Counter(self.world.counts.loads) == total(self.routers)
+            self.harness.owner.record_report(report=decode_report(router))
+        assert Counter(self.harness.counts.loads) == total(self.routers)
 
 
-def decode_held(router: RequestingRouter) -> InFlightReport:
+def decode_report(router: RequestingRouter) -> InFlightReport:
     held = decode(datagram=encode(message=router.build_report()))
     assert isinstance(held, InFlightReport)
     return held
