--- a/dotterelpaddle/tests/test_line_logs.py
+++ b/dotterelpaddle/tests/test_line_logs.py
@@ -28,7 +28,7 @@
 """Bytes that no pipe holds unread."""
 
 
-class World:
+class PipeSink:
     """A sink at one end of a pipe, and a clock that tests turn."""
 
     def __init__(self) -> None:
@@ -44,8 +44,8 @@
 
 
 @contextmanager
-def _world() -> Iterator[World]:
-    world = World()
+def _world() -> Iterator[PipeSink]:
+    world = PipeSink()
     with log_to_sink(level=Level.INFO, sink=world.sink):
         yield world
 
@@ -110,7 +110,7 @@
 
 def test_lines_that_wait_are_bounded(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(line_logs, "MOST_QUEUED", 1000)
-    world = World()
+    world = PipeSink()
     for _ in range(100):
         world.sink.write(event="placed", fields={}, keep=True)
     with world.sink.opened():
@@ -127,7 +127,7 @@
 
 
 def test_reader_that_is_gone_ends_nothing() -> None:
-    world = World()
+    world = PipeSink()
     os.close(world.reader)
     with world.sink.opened():
         world.sink.write(event="placed", fields={}, keep=True)
