--- a/dotterelpaddle/forwarding/crash_guard.py
+++ b/dotterelpaddle/forwarding/crash_guard.py
@@ -34,7 +34,7 @@
 
     Args:
         crashes: Under which requests endpoints ended.
-        endings: Finds out whether endpoints that broke off have ended.
+        termination_prober: Finds out whether endpoints that broke off have ended.
         metrics: Counts what was blocked.
         clock: Monotonic clock.
     """
@@ -43,12 +43,12 @@
         self,
         *,
         crashes: CrashTracker,
-        endings: TerminationProber,
+        termination_prober: TerminationProber,
         metrics: ForwardMetrics,
         clock: Clock,
     ) -> None:
         self._crashes = crashes
-        self._endings = endings
+        self._termination_prober = termination_prober
         self._metrics = metrics
         self._clock = clock
 
@@ -98,7 +98,7 @@
             if self._is_harmless(progress=progress, output=output):
                 crashes.end_attempt(fingerprint=fingerprint, endpoint=endpoint)
             else:
-                self._endings.report_broken_connection(
+                self._termination_prober.report_broken_connection(
                     entry=entry,
                     fingerprint=fingerprint,
                     answer_begun=progress.attempt.state is not AttemptState.SENT
--- a/dotterelpaddle/forwarding/parts.py
+++ b/dotterelpaddle/forwarding/parts.py
@@ -258,7 +258,7 @@
         caches=knowledge.caches,
         guard=CrashGuard(
             crashes=knowledge.crashes,
-            endings=endings,
+            termination_prober=endings,
             metrics=metrics,
             clock=clock,
         ),
