--- a/dotterelpaddle/forwarding/app.py
+++ b/dotterelpaddle/forwarding/app.py
@@ -217,7 +217,7 @@
             wait = retry_after_seconds(
                 wait=error.retry_after,
                 time_left=self._time_left(exchange=exchange),
-                not_ready_for=self._unready_seconds,
+                unready_seconds=self._unready_seconds,
             )
             headers.append((b"retry-after", f"{wait:.3g}".encode()))
         return headers
--- a/dotterelpaddle/forwarding/returns.py
+++ b/dotterelpaddle/forwarding/returns.py
@@ -15,7 +15,7 @@
 
 
 def retry_after_seconds(
-    *, wait: float | None, time_left: float, not_ready_for: float | None
+    *, wait: float | None, time_left: float, unready_seconds: float | None
 ) -> float:
     """Return the seconds after which a refused caller may come back.
 
@@ -29,11 +29,11 @@
     Args:
         wait: What the error says, None if it does not.
         time_left: Seconds until the caller's deadline.
-        not_ready_for: Seconds since this router began to report not ready, None if it
+        unready_seconds: Seconds since this router began to report not ready, None if it
             is ready.
     """
     usual = DEFAULT_RETRY_AFTER_SECONDS if wait is None else wait
-    if not_ready_for is None:
+    if unready_seconds is None:
         return usual
-    moved_in = BALANCER_REROUTE_SECONDS - not_ready_for
+    moved_in = BALANCER_REROUTE_SECONDS - unready_seconds
     return max(usual, min(moved_in, MAX_TIME_LEFT_SHARE * time_left))
--- a/dotterelpaddle/tests/forwarding/test_returns.py
+++ b/dotterelpaddle/tests/forwarding/test_returns.py
@@ -20,7 +20,7 @@
 def _served_after_return(*, budget: float, sent: float) -> bool:
     """Tell whether a caller that isolated routers refused is served on return."""
     wait = retry_after_seconds(
-        wait=DEFAULT_RETRY_AFTER_SECONDS, time_left=budget, not_ready_for=sent
+        wait=DEFAULT_RETRY_AFTER_SECONDS, time_left=budget, unready_seconds=sent
     )
     return (
         sent + wait >= BALANCER_REROUTE_SECONDS and wait <= MAX_TIME_LEFT_SHARE * budget
@@ -41,16 +41,16 @@
 
 
 def test_caller_with_little_time_is_not_kept_from_trying() -> None:
-    assert retry_after_seconds(wait=0.3, time_left=0.6, not_ready_for=0.1) == 0.3
+    assert retry_after_seconds(wait=0.3, time_left=0.6, unready_seconds=0.1) == 0.3
 
 
 def test_caller_of_a_router_in_reach_of_all_is_told_what_the_error_says() -> None:
-    assert retry_after_seconds(wait=0.5, time_left=12.0, not_ready_for=None) == 0.5
+    assert retry_after_seconds(wait=0.5, time_left=12.0, unready_seconds=None) == 0.5
     assert (
-        retry_after_seconds(wait=None, time_left=12.0, not_ready_for=None)
+        retry_after_seconds(wait=None, time_left=12.0, unready_seconds=None)
         == DEFAULT_RETRY_AFTER_SECONDS
     )
 
 
 def test_long_isolated_router_asks_for_no_more_than_the_usual_wait() -> None:
-    assert retry_after_seconds(wait=0.3, time_left=12.0, not_ready_for=5.0) == 0.3
+    assert retry_after_seconds(wait=0.3, time_left=12.0, unready_seconds=5.0) == 0.3
