--- a/dotterelpaddle/forwarding/candidates.py
+++ b/dotterelpaddle/forwarding/candidates.py
@@ -9,10 +9,10 @@
 if TYPE_CHECKING:
     from collections.abc import Sequence
 
+    from dotterelpaddle.forwarding.backoffs import EndpointBackoffs
     from dotterelpaddle.forwarding.health import HealthTracker
     from dotterelpaddle.forwarding.interface import HasPrompt
     from dotterelpaddle.forwarding.model import EndpointEntry
-    from dotterelpaddle.forwarding.quiet import EndpointBackoffs
     from dotterelpaddle.forwarding.reachability import Reachability
     from dotterelpaddle.forwarding.view import FleetView
     from dotterelpaddle.ids import EndpointId, ServiceName
--- a/dotterelpaddle/forwarding/notices.py
+++ b/dotterelpaddle/forwarding/notices.py
@@ -8,9 +8,9 @@
 from dotterelpaddle.logs import get_logger
 
 if TYPE_CHECKING:
+    from dotterelpaddle.forwarding.backoffs import EndpointBackoffs
     from dotterelpaddle.forwarding.interface import AnswerHead
     from dotterelpaddle.forwarding.leaving import LeavingEndpoints
-    from dotterelpaddle.forwarding.quiet import EndpointBackoffs
     from dotterelpaddle.ids import EndpointId, RequestId
 
 log = get_logger(name=__name__)
--- a/dotterelpaddle/forwarding/parts.py
+++ b/dotterelpaddle/forwarding/parts.py
@@ -8,6 +8,7 @@
 
 from dotterelpaddle.forwarding.app import ForwardApp
 from dotterelpaddle.forwarding.attempts import AttemptRunner
+from dotterelpaddle.forwarding.backoffs import EndpointBackoffs
 from dotterelpaddle.forwarding.caches import CacheMap
 from dotterelpaddle.forwarding.client import ForwardClient
 from dotterelpaddle.forwarding.cold import ColdEndpoints
@@ -27,7 +28,6 @@
 )
 from dotterelpaddle.forwarding.notices import EndpointNotices
 from dotterelpaddle.forwarding.placement import ForwardPlacer
-from dotterelpaddle.forwarding.quiet import EndpointBackoffs
 from dotterelpaddle.forwarding.reachability import Reachability
 from dotterelpaddle.forwarding.repeats import RetryBudget
 from dotterelpaddle.forwarding.residency import ResidencyPolicy
--- a/dotterelpaddle/forwarding/placement.py
+++ b/dotterelpaddle/forwarding/placement.py
@@ -27,6 +27,7 @@
     from collections import Counter
     from collections.abc import Sequence
 
+    from dotterelpaddle.forwarding.backoffs import EndpointBackoffs
     from dotterelpaddle.forwarding.cached_prompts import CachedPrompt
     from dotterelpaddle.forwarding.caches import CacheMap
     from dotterelpaddle.forwarding.cold import ColdEndpoints
@@ -34,7 +35,6 @@
     from dotterelpaddle.forwarding.interface import HasPrompt
     from dotterelpaddle.forwarding.loads import LoadTracker
     from dotterelpaddle.forwarding.model import EndpointEntry
-    from dotterelpaddle.forwarding.quiet import EndpointBackoffs
     from dotterelpaddle.forwarding.reachability import Reachability
     from dotterelpaddle.forwarding.view import FleetView
     from dotterelpaddle.ids import EndpointId, FailureDomain, ServiceName
--- a/dotterelpaddle/peers/cache_lists.py
+++ b/dotterelpaddle/peers/cache_lists.py
@@ -18,10 +18,10 @@
     from collections.abc import Sequence
 
     from dotterelpaddle.clock import Clock
+    from dotterelpaddle.forwarding.backoffs import EndpointBackoffs
     from dotterelpaddle.forwarding.caches import CacheMap
     from dotterelpaddle.forwarding.interface import CacheReader
     from dotterelpaddle.forwarding.model import EndpointEntry
-    from dotterelpaddle.forwarding.quiet import EndpointBackoffs
     from dotterelpaddle.forwarding.view import FleetView
     from dotterelpaddle.ids import FailureDomain
     from dotterelpaddle.owners.shards import ShardMap
--- a/dotterelpaddle/tests/forwarding/test_cold.py
+++ b/dotterelpaddle/tests/forwarding/test_cold.py
@@ -16,6 +16,7 @@
 from hypothesis.stateful import RuleBasedStateMachine, initialize, invariant, rule
 
 from dotterelpaddle.exceptions import NoEndpoint
+from dotterelpaddle.forwarding.backoffs import EndpointBackoffs
 from dotterelpaddle.forwarding.caches import CacheMap
 from dotterelpaddle.forwarding.cold import (
     SETTLING_SECONDS,
@@ -33,7 +34,6 @@
     SlowStart,
 )
 from dotterelpaddle.forwarding.placement import ForwardPlacer
-from dotterelpaddle.forwarding.quiet import EndpointBackoffs
 from dotterelpaddle.forwarding.reachability import Reachability
 from dotterelpaddle.forwarding.settings import ColdBounds
 from dotterelpaddle.forwarding.shares import RequestTotals, TotalsTracker
--- a/dotterelpaddle/tests/forwarding/test_herding.py
+++ b/dotterelpaddle/tests/forwarding/test_herding.py
@@ -9,6 +9,7 @@
 import pytest
 from hypothesis import given, strategies as st
 
+from dotterelpaddle.forwarding.backoffs import EndpointBackoffs
 from dotterelpaddle.forwarding.caches import CacheMap
 from dotterelpaddle.forwarding.health import HealthTracker
 from dotterelpaddle.forwarding.herding import (
@@ -20,7 +21,6 @@
 from dotterelpaddle.forwarding.interface import EndpointsUpdate
 from dotterelpaddle.forwarding.loads import LoadTracker
 from dotterelpaddle.forwarding.placement import ForwardPlacer
-from dotterelpaddle.forwarding.quiet import EndpointBackoffs
 from dotterelpaddle.forwarding.reachability import Reachability
 from dotterelpaddle.forwarding.shares import RequestTotals, TotalsScope, TotalsTracker
 from dotterelpaddle.forwarding.view import FleetView
--- a/dotterelpaddle/tests/forwarding/test_leaving.py
+++ b/dotterelpaddle/tests/forwarding/test_leaving.py
@@ -6,6 +6,7 @@
 
 import pytest
 
+from dotterelpaddle.forwarding.backoffs import MAX_BACKOFF_SECONDS, EndpointBackoffs
 from dotterelpaddle.forwarding.interface import AnswerHead, EndpointsUpdate
 from dotterelpaddle.forwarding.leaving import (
     MAX_NOTICES_PER_REPORT,
@@ -17,7 +18,6 @@
 )
 from dotterelpaddle.forwarding.model import EndpointEntry, EndpointState, endpoint_id
 from dotterelpaddle.forwarding.notices import EndpointNotices
-from dotterelpaddle.forwarding.quiet import MAX_BACKOFF_SECONDS, EndpointBackoffs
 from dotterelpaddle.forwarding.telling import REPORTS_PER_UPDATE
 from dotterelpaddle.forwarding.view import FleetView
 from dotterelpaddle.ids import (
--- a/dotterelpaddle/tests/forwarding/test_placement.py
+++ b/dotterelpaddle/tests/forwarding/test_placement.py
@@ -11,6 +11,7 @@
 
 from dotterelpaddle.address import Address
 from dotterelpaddle.exceptions import NoEndpoint
+from dotterelpaddle.forwarding.backoffs import EndpointBackoffs
 from dotterelpaddle.forwarding.caches import CacheMap
 from dotterelpaddle.forwarding.choice import Choice, ChoiceReason
 from dotterelpaddle.forwarding.health import (
@@ -26,7 +27,6 @@
 from dotterelpaddle.forwarding.loads import LoadTracker
 from dotterelpaddle.forwarding.model import EndpointEntry, EndpointState
 from dotterelpaddle.forwarding.placement import ForwardPlacer
-from dotterelpaddle.forwarding.quiet import EndpointBackoffs
 from dotterelpaddle.forwarding.reachability import Reachability
 from dotterelpaddle.forwarding.shares import (
     MAX_TOTALS_AGE_SECONDS,
--- a/dotterelpaddle/tests/owners/world.py
+++ b/dotterelpaddle/tests/owners/world.py
@@ -7,12 +7,12 @@
 from contextlib import ExitStack
 from typing import TYPE_CHECKING
 
+from dotterelpaddle.forwarding.backoffs import EndpointBackoffs
 from dotterelpaddle.forwarding.caches import CacheMap
 from dotterelpaddle.forwarding.health import HealthTracker
 from dotterelpaddle.forwarding.interface import EndpointsUpdate
 from dotterelpaddle.forwarding.loads import LoadTracker
 from dotterelpaddle.forwarding.placement import ForwardPlacer
-from dotterelpaddle.forwarding.quiet import EndpointBackoffs
 from dotterelpaddle.forwarding.reachability import Reachability
 from dotterelpaddle.forwarding.shares import TotalsTracker
 from dotterelpaddle.forwarding.view import FleetView
--- a/dotterelpaddle/tests/peers/test_cache_lists.py
+++ b/dotterelpaddle/tests/peers/test_cache_lists.py
@@ -8,9 +8,9 @@
 import anyio
 import pytest
 
+from dotterelpaddle.forwarding.backoffs import EndpointBackoffs
 from dotterelpaddle.forwarding.caches import CacheMap
 from dotterelpaddle.forwarding.interface import CachedParts, EndpointsUpdate
-from dotterelpaddle.forwarding.quiet import EndpointBackoffs
 from dotterelpaddle.forwarding.view import FleetView
 from dotterelpaddle.ids import EndpointId, FailureDomain, ModelId, Revision
 from dotterelpaddle.owners.shards import ShardMap
