--- a/dotterelpaddle/forwarding/attempts.py
+++ b/dotterelpaddle/forwarding/attempts.py
@@ -42,7 +42,7 @@
     from dotterelpaddle.forwarding.relays import Relay
     from dotterelpaddle.forwarding.repeats import RetryBudget
     from dotterelpaddle.forwarding.residency import ResidencyPolicy
-    from dotterelpaddle.forwarding.waits import TimeoutEstimator
+    from dotterelpaddle.forwarding.timeouts import TimeoutEstimator
     from dotterelpaddle.ids import EndpointId
     from dotterelpaddle.owners.placing import OwnerPlacer
 
--- a/dotterelpaddle/forwarding/parts.py
+++ b/dotterelpaddle/forwarding/parts.py
@@ -33,8 +33,8 @@
 from dotterelpaddle.forwarding.residency import ResidencyPolicy
 from dotterelpaddle.forwarding.shares import TotalsTracker
 from dotterelpaddle.forwarding.signs import EndpointLiveness
+from dotterelpaddle.forwarding.timeouts import TimeoutEstimator
 from dotterelpaddle.forwarding.view import FleetView
-from dotterelpaddle.forwarding.waits import TimeoutEstimator
 from dotterelpaddle.network import LinkedBackend
 from dotterelpaddle.owners.asking import OwnerExchange
 from dotterelpaddle.owners.counts import ShardCounts
--- a/dotterelpaddle/forwarding/progress.py
+++ b/dotterelpaddle/forwarding/progress.py
@@ -8,7 +8,7 @@
 from dotterelpaddle.endpoint.evidence import Evidence
 from dotterelpaddle.exceptions import EndpointUnreachable
 from dotterelpaddle.forwarding.exceptions import IdleConnectionLost
-from dotterelpaddle.forwarding.waits import (
+from dotterelpaddle.forwarding.timeouts import (
     CONNECT_TIMEOUT_SECONDS,
     LAST_CONNECT_TIMEOUT_SECONDS,
 )
--- a/dotterelpaddle/tests/forwarding/test_waits.py
+++ b/dotterelpaddle/tests/forwarding/test_timeouts.py
@@ -5,7 +5,10 @@
 import pytest
 
 from dotterelpaddle.forwarding.model import ForwardRoute, RequestKind
-from dotterelpaddle.forwarding.waits import PREFILL_SECONDS_PER_TOKEN, TimeoutEstimator
+from dotterelpaddle.forwarding.timeouts import (
+    PREFILL_SECONDS_PER_TOKEN,
+    TimeoutEstimator,
+)
 
 
 def _route(kind: RequestKind, objective: float) -> ForwardRoute:
