--- a/dotterelpaddle/forwarding/app.py
+++ b/dotterelpaddle/forwarding/app.py
@@ -16,7 +16,7 @@
 from dotterelpaddle.forwarding.exchange import ForwardExchange
 from dotterelpaddle.forwarding.relays import NOT_EXECUTED_STATUSES
 from dotterelpaddle.forwarding.reply import ForwardReply
-from dotterelpaddle.forwarding.returns import retry_after_seconds
+from dotterelpaddle.forwarding.retry_after import retry_after_seconds
 from dotterelpaddle.http_server import ReplyCut
 from dotterelpaddle.logs import get_logger
 
