--- a/dotterelpaddle/forwarding/router.py
+++ b/dotterelpaddle/forwarding/router.py
@@ -9,7 +9,7 @@
 import anyio
 
 from dotterelpaddle.forwarding.caller_protocol import caller_protocol
-from dotterelpaddle.forwarding.parts import build_components
+from dotterelpaddle.forwarding.components import build_components
 from dotterelpaddle.forwarding.readiness import ReadinessApp
 from dotterelpaddle.http_server import serve
 from dotterelpaddle.logs import get_logger
@@ -21,7 +21,7 @@
     from collections.abc import AsyncIterator
 
     from dotterelpaddle.address import Address
-    from dotterelpaddle.forwarding.parts import Components, Dependencies
+    from dotterelpaddle.forwarding.components import Components, Dependencies
     from dotterelpaddle.forwarding.settings import ForwardSettings
 
 log = get_logger(name=__name__)
--- a/dotterelpaddle/tests/forwarding/crash_world.py
+++ b/dotterelpaddle/tests/forwarding/crash_world.py
@@ -44,7 +44,7 @@
 
     from anyio.abc import TaskGroup
 
-    from dotterelpaddle.forwarding.parts import Components
+    from dotterelpaddle.forwarding.components import Components
     from dotterelpaddle.ids import RouterId
 
 CULPRIT = "culprit"
--- a/dotterelpaddle/tests/owners/fleet.py
+++ b/dotterelpaddle/tests/owners/fleet.py
@@ -47,8 +47,8 @@
 
     from dotterelpaddle.address import Address
     from dotterelpaddle.forwarding.choice import Choice
+    from dotterelpaddle.forwarding.components import Components
     from dotterelpaddle.forwarding.interface import ForwardRequest
-    from dotterelpaddle.forwarding.parts import Components
     from dotterelpaddle.ids import FailureDomain
 
 SERVICE = ServiceName("engines")
--- a/dotterelpaddle/tests/owners/hosts.py
+++ b/dotterelpaddle/tests/owners/hosts.py
@@ -12,7 +12,11 @@
 import anyio
 
 from dotterelpaddle.address import Address
-from dotterelpaddle.forwarding.parts import Components, Dependencies, build_components
+from dotterelpaddle.forwarding.components import (
+    Components,
+    Dependencies,
+    build_components,
+)
 from dotterelpaddle.forwarding.repeats import RetryLimits
 from dotterelpaddle.forwarding.settings import ForwardSettings
 from dotterelpaddle.ids import FailureDomain, RouterId
