--- a/dotterelpaddle/forwarding/caches.py
+++ b/dotterelpaddle/forwarding/caches.py
@@ -14,7 +14,7 @@
 
 import anyio
 
-from dotterelpaddle.forwarding.uses import MAX_FORWARDED_USES_PER_REPORT, UseQueue
+from dotterelpaddle.forwarding.use_queue import MAX_FORWARDED_USES_PER_REPORT, UseQueue
 from dotterelpaddle.placement.rendezvous import tag
 
 if TYPE_CHECKING:
@@ -22,7 +22,7 @@
 
     from dotterelpaddle.clock import Clock
     from dotterelpaddle.forwarding.interface import HasPrompt, PromptPart
-    from dotterelpaddle.forwarding.uses import PartTag, PartUse
+    from dotterelpaddle.forwarding.use_queue import PartTag, PartUse
     from dotterelpaddle.ids import EndpointId, ModelId
 
 PART_EXPIRY_SECONDS = 120.0
--- a/dotterelpaddle/forwarding/interface.py
+++ b/dotterelpaddle/forwarding/interface.py
@@ -16,7 +16,7 @@
         EndpointEntry,
         FleetConfiguration,
     )
-    from dotterelpaddle.forwarding.uses import PartTag
+    from dotterelpaddle.forwarding.use_queue import PartTag
     from dotterelpaddle.ids import (
         EndpointId,
         EndpointName,
--- a/dotterelpaddle/peers/exchange.py
+++ b/dotterelpaddle/peers/exchange.py
@@ -32,7 +32,7 @@
     from dotterelpaddle.forwarding.loads import LoadTracker
     from dotterelpaddle.forwarding.repeats import RetryBudget
     from dotterelpaddle.forwarding.shares import TotalsTracker
-    from dotterelpaddle.forwarding.uses import PartUse
+    from dotterelpaddle.forwarding.use_queue import PartUse
     from dotterelpaddle.forwarding.view import FleetView
     from dotterelpaddle.owners.asking import OwnerExchange
     from dotterelpaddle.peers.datagrams import DatagramSocket
--- a/dotterelpaddle/peers/snapshot.py
+++ b/dotterelpaddle/peers/snapshot.py
@@ -23,7 +23,7 @@
     from dotterelpaddle.forwarding.interface import DocumentDecoder
     from dotterelpaddle.forwarding.model import FleetConfiguration
     from dotterelpaddle.forwarding.unusable import UnusableEntries
-    from dotterelpaddle.forwarding.uses import PartUse
+    from dotterelpaddle.forwarding.use_queue import PartUse
     from dotterelpaddle.forwarding.view import FleetView
 
 
--- a/dotterelpaddle/tests/forwarding/test_caches.py
+++ b/dotterelpaddle/tests/forwarding/test_caches.py
@@ -7,7 +7,10 @@
     CacheMap,
     UseOrigin,
 )
-from dotterelpaddle.forwarding.uses import MAX_LOCAL_USES_PER_REPORT, REPORTS_PER_USE
+from dotterelpaddle.forwarding.use_queue import (
+    MAX_LOCAL_USES_PER_REPORT,
+    REPORTS_PER_USE,
+)
 from dotterelpaddle.ids import EndpointId
 from dotterelpaddle.tests.forwarding.entries import make_request
 
