--- a/dotterelpaddle/forwarding/crashes.py
+++ b/dotterelpaddle/forwarding/crashes.py
@@ -14,7 +14,7 @@
 
 from dotterelpaddle.exceptions import RequestBlocked
 from dotterelpaddle.forwarding.blame import Suspicion, find_causes
-from dotterelpaddle.forwarding.telling import ReportState
+from dotterelpaddle.forwarding.report_state import ReportState
 from dotterelpaddle.logs import get_logger
 
 if TYPE_CHECKING:
--- a/dotterelpaddle/forwarding/leaving.py
+++ b/dotterelpaddle/forwarding/leaving.py
@@ -10,7 +10,7 @@
 from dataclasses import dataclass, field
 from typing import TYPE_CHECKING
 
-from dotterelpaddle.forwarding.telling import ReportState
+from dotterelpaddle.forwarding.report_state import ReportState
 from dotterelpaddle.logs import get_logger
 
 if TYPE_CHECKING:
--- a/dotterelpaddle/tests/forwarding/test_crashes.py
+++ b/dotterelpaddle/tests/forwarding/test_crashes.py
@@ -20,7 +20,7 @@
     SUSPICION_SECONDS,
     CrashTracker,
 )
-from dotterelpaddle.forwarding.telling import REPORTS_PER_UPDATE
+from dotterelpaddle.forwarding.report_state import REPORTS_PER_UPDATE
 from dotterelpaddle.ids import EndpointId, Fingerprint
 
 CULPRIT, OTHER = Fingerprint("culprit"), Fingerprint("other")
--- a/dotterelpaddle/tests/forwarding/test_leaving.py
+++ b/dotterelpaddle/tests/forwarding/test_leaving.py
@@ -18,7 +18,7 @@
 )
 from dotterelpaddle.forwarding.model import EndpointEntry, EndpointState, endpoint_id
 from dotterelpaddle.forwarding.notices import EndpointNotices
-from dotterelpaddle.forwarding.telling import REPORTS_PER_UPDATE
+from dotterelpaddle.forwarding.report_state import REPORTS_PER_UPDATE
 from dotterelpaddle.forwarding.view import FleetView
 from dotterelpaddle.ids import (
     EndpointId,
