--- a/dotterelpaddle/forwarding/components.py
+++ b/dotterelpaddle/forwarding/components.py
@@ -30,8 +30,8 @@
 from dotterelpaddle.forwarding.placement import ForwardPlacer
 from dotterelpaddle.forwarding.reachability import Reachability
 from dotterelpaddle.forwarding.repeats import RetryBudget
+from dotterelpaddle.forwarding.request_totals import TotalsTracker
 from dotterelpaddle.forwarding.residency import ResidencyPolicy
-from dotterelpaddle.forwarding.shares import TotalsTracker
 from dotterelpaddle.forwarding.signs import EndpointLiveness
 from dotterelpaddle.forwarding.timeouts import TimeoutEstimator
 from dotterelpaddle.forwarding.view import FleetView
--- a/dotterelpaddle/forwarding/loads.py
+++ b/dotterelpaddle/forwarding/loads.py
@@ -9,7 +9,7 @@
 if TYPE_CHECKING:
     from collections.abc import Callable, Iterator, Mapping
 
-    from dotterelpaddle.forwarding.shares import TotalsTracker
+    from dotterelpaddle.forwarding.request_totals import TotalsTracker
     from dotterelpaddle.ids import EndpointId
 
 
--- a/dotterelpaddle/forwarding/repeats.py
+++ b/dotterelpaddle/forwarding/repeats.py
@@ -13,13 +13,13 @@
 from dataclasses import dataclass
 from typing import TYPE_CHECKING
 
-from dotterelpaddle.forwarding.shares import RetryCounts
+from dotterelpaddle.forwarding.request_totals import RetryCounts
 
 if TYPE_CHECKING:
     from collections.abc import Callable
 
     from dotterelpaddle.clock import Clock
-    from dotterelpaddle.forwarding.shares import TotalsTracker
+    from dotterelpaddle.forwarding.request_totals import TotalsTracker
     from dotterelpaddle.ids import ServiceName
 
 BUDGET_SAFETY_FACTOR = 0.85
--- a/dotterelpaddle/peers/directory.py
+++ b/dotterelpaddle/peers/directory.py
@@ -6,7 +6,7 @@
 from functools import lru_cache
 from typing import TYPE_CHECKING
 
-from dotterelpaddle.forwarding.shares import TotalsScope
+from dotterelpaddle.forwarding.request_totals import TotalsScope
 from dotterelpaddle.logs import get_logger
 from dotterelpaddle.peers.messages import PeerInfo
 from dotterelpaddle.placement.rendezvous import digest
--- a/dotterelpaddle/peers/exchange.py
+++ b/dotterelpaddle/peers/exchange.py
@@ -10,7 +10,11 @@
 
 from dotterelpaddle.exceptions import ControlError
 from dotterelpaddle.forwarding.caches import UseOrigin
-from dotterelpaddle.forwarding.shares import ReplyRequest, RequestTotals, TotalsScope
+from dotterelpaddle.forwarding.request_totals import (
+    ReplyRequest,
+    RequestTotals,
+    TotalsScope,
+)
 from dotterelpaddle.ids import Revision
 from dotterelpaddle.logs import get_logger
 from dotterelpaddle.owners.messages import DATAGRAM_PREFIX
@@ -31,7 +35,7 @@
     from dotterelpaddle.forwarding.follower import Follower
     from dotterelpaddle.forwarding.loads import LoadTracker
     from dotterelpaddle.forwarding.repeats import RetryBudget
-    from dotterelpaddle.forwarding.shares import TotalsTracker
+    from dotterelpaddle.forwarding.request_totals import TotalsTracker
     from dotterelpaddle.forwarding.use_queue import PartUse
     from dotterelpaddle.forwarding.view import FleetView
     from dotterelpaddle.owners.asking import OwnerExchange
--- a/dotterelpaddle/peers/messages.py
+++ b/dotterelpaddle/peers/messages.py
@@ -12,7 +12,7 @@
 from dotterelpaddle.exceptions import ControlError
 from dotterelpaddle.forwarding.evacuations import EvacuationSnapshot
 from dotterelpaddle.forwarding.leaving import LeavingNotice
-from dotterelpaddle.forwarding.shares import (
+from dotterelpaddle.forwarding.request_totals import (
     ReplyRequest,
     RequestTotals,
     RetryCounts,
--- a/dotterelpaddle/peers/plan.py
+++ b/dotterelpaddle/peers/plan.py
@@ -11,11 +11,11 @@
 from dataclasses import dataclass
 from typing import TYPE_CHECKING
 
-from dotterelpaddle.forwarding.shares import ReplyRequest, TotalsScope
+from dotterelpaddle.forwarding.request_totals import ReplyRequest, TotalsScope
 
 if TYPE_CHECKING:
     from dotterelpaddle.address import Address
-    from dotterelpaddle.forwarding.shares import TotalsTracker
+    from dotterelpaddle.forwarding.request_totals import TotalsTracker
     from dotterelpaddle.ids import RouterId
     from dotterelpaddle.peers.directory import PeerDirectory
 
--- a/dotterelpaddle/peers/word.py
+++ b/dotterelpaddle/peers/word.py
@@ -15,7 +15,7 @@
     from collections.abc import Iterable
 
     from dotterelpaddle.clock import Clock
-    from dotterelpaddle.forwarding.shares import TotalsTracker
+    from dotterelpaddle.forwarding.request_totals import TotalsTracker
     from dotterelpaddle.forwarding.view import FleetView
     from dotterelpaddle.peers.directory import Peer, PeerDirectory
 
--- a/dotterelpaddle/tests/forwarding/test_cold.py
+++ b/dotterelpaddle/tests/forwarding/test_cold.py
@@ -35,8 +35,8 @@
 )
 from dotterelpaddle.forwarding.placement import ForwardPlacer
 from dotterelpaddle.forwarding.reachability import Reachability
+from dotterelpaddle.forwarding.request_totals import RequestTotals, TotalsTracker
 from dotterelpaddle.forwarding.settings import ColdBounds
-from dotterelpaddle.forwarding.shares import RequestTotals, TotalsTracker
 from dotterelpaddle.forwarding.view import FleetView
 from dotterelpaddle.ids import (
     EndpointId,
--- a/dotterelpaddle/tests/forwarding/test_loads.py
+++ b/dotterelpaddle/tests/forwarding/test_loads.py
@@ -3,7 +3,7 @@
 from __future__ import annotations
 
 from dotterelpaddle.forwarding.loads import LoadTracker
-from dotterelpaddle.forwarding.shares import RequestTotals, TotalsTracker
+from dotterelpaddle.forwarding.request_totals import RequestTotals, TotalsTracker
 from dotterelpaddle.ids import EndpointId, FailureDomain, RouterId
 
 HERE = FailureDomain("here")
--- a/dotterelpaddle/tests/forwarding/test_placement.py
+++ b/dotterelpaddle/tests/forwarding/test_placement.py
@@ -28,7 +28,7 @@
 from dotterelpaddle.forwarding.model import EndpointEntry, EndpointState
 from dotterelpaddle.forwarding.placement import ForwardPlacer
 from dotterelpaddle.forwarding.reachability import Reachability
-from dotterelpaddle.forwarding.shares import (
+from dotterelpaddle.forwarding.request_totals import (
     MAX_TOTALS_AGE_SECONDS,
     RequestTotals,
     TotalsTracker,
--- a/dotterelpaddle/tests/forwarding/test_repeats.py
+++ b/dotterelpaddle/tests/forwarding/test_repeats.py
@@ -11,7 +11,11 @@
     RetryBudget,
     RetryLimits,
 )
-from dotterelpaddle.forwarding.shares import RequestTotals, TotalsScope, TotalsTracker
+from dotterelpaddle.forwarding.request_totals import (
+    RequestTotals,
+    TotalsScope,
+    TotalsTracker,
+)
 from dotterelpaddle.ids import FailureDomain, RouterId, ServiceName
 
 SERVICE = ServiceName("records")
--- a/dotterelpaddle/tests/forwarding/test_starts.py
+++ b/dotterelpaddle/tests/forwarding/test_starts.py
@@ -14,7 +14,7 @@
 from dotterelpaddle.forwarding.interface import EndpointsUpdate
 from dotterelpaddle.forwarding.loads import LoadTracker
 from dotterelpaddle.forwarding.model import EndpointState
-from dotterelpaddle.forwarding.shares import TotalsTracker
+from dotterelpaddle.forwarding.request_totals import TotalsTracker
 from dotterelpaddle.forwarding.unusable import UnusableEntries
 from dotterelpaddle.forwarding.view import FleetView
 from dotterelpaddle.ids import EndpointName, FailureDomain, Revision, ServiceName
--- a/dotterelpaddle/tests/owners/test_owner.py
+++ b/dotterelpaddle/tests/owners/test_owner.py
@@ -11,7 +11,7 @@
 
 from dotterelpaddle.forwarding.herding import load_bound
 from dotterelpaddle.forwarding.interface import EndpointsUpdate
-from dotterelpaddle.forwarding.shares import RequestTotals
+from dotterelpaddle.forwarding.request_totals import RequestTotals
 from dotterelpaddle.ids import EndpointId, FailureDomain, Revision, RouterId
 from dotterelpaddle.owners.counts import REPORT_INTERVAL_SECONDS, REPORT_TTL_SECONDS
 from dotterelpaddle.tests.forwarding.entries import make_entry, make_request
--- a/dotterelpaddle/tests/owners/world.py
+++ b/dotterelpaddle/tests/owners/world.py
@@ -14,7 +14,7 @@
 from dotterelpaddle.forwarding.loads import LoadTracker
 from dotterelpaddle.forwarding.placement import ForwardPlacer
 from dotterelpaddle.forwarding.reachability import Reachability
-from dotterelpaddle.forwarding.shares import TotalsTracker
+from dotterelpaddle.forwarding.request_totals import TotalsTracker
 from dotterelpaddle.forwarding.view import FleetView
 from dotterelpaddle.ids import (
     EndpointId,
--- a/dotterelpaddle/tests/peers/fleet.py
+++ b/dotterelpaddle/tests/peers/fleet.py
@@ -19,7 +19,7 @@
     from dotterelpaddle.forwarding.caches import CacheMap
     from dotterelpaddle.forwarding.loads import LoadTracker
     from dotterelpaddle.forwarding.repeats import RetryBudget
-    from dotterelpaddle.forwarding.shares import TotalsTracker
+    from dotterelpaddle.forwarding.request_totals import TotalsTracker
     from dotterelpaddle.peers.directory import PeerDirectory
     from dotterelpaddle.peers.plan import ReportPlan
     from dotterelpaddle.peers.word import PeerSummary
--- a/dotterelpaddle/tests/peers/test_messages.py
+++ b/dotterelpaddle/tests/peers/test_messages.py
@@ -11,7 +11,7 @@
 from dotterelpaddle.forwarding.crashes import CrashNote, NoteKind
 from dotterelpaddle.forwarding.evacuations import EvacuationSnapshot
 from dotterelpaddle.forwarding.leaving import LeavingNotice
-from dotterelpaddle.forwarding.shares import (
+from dotterelpaddle.forwarding.request_totals import (
     ReplyRequest,
     RequestTotals,
     RetryCounts,
--- a/dotterelpaddle/tests/peers/test_word.py
+++ b/dotterelpaddle/tests/peers/test_word.py
@@ -8,7 +8,7 @@
 from dotterelpaddle.forwarding.evacuations import EvacuationSnapshot
 from dotterelpaddle.forwarding.interface import EndpointsUpdate
 from dotterelpaddle.forwarding.model import EndpointState
-from dotterelpaddle.forwarding.shares import RequestTotals, TotalsTracker
+from dotterelpaddle.forwarding.request_totals import RequestTotals, TotalsTracker
 from dotterelpaddle.forwarding.view import FleetView
 from dotterelpaddle.ids import FailureDomain, Revision, RouterId
 from dotterelpaddle.peers.directory import PEER_TIMEOUT_SECONDS, PeerDirectory
