--- a/dotterelpaddle/forwarding/crashes.py
+++ b/dotterelpaddle/forwarding/crashes.py
@@ -13,7 +13,7 @@
 from typing import TYPE_CHECKING
 
 from dotterelpaddle.exceptions import RequestBlocked
-from dotterelpaddle.forwarding.blame import Suspicion, find_causes
+from dotterelpaddle.forwarding.crash_causes import Suspicion, find_causes
 from dotterelpaddle.forwarding.report_state import ReportState
 from dotterelpaddle.logs import get_logger
 
--- a/dotterelpaddle/tests/forwarding/test_blame.py
+++ b/dotterelpaddle/tests/forwarding/test_crash_causes.py
@@ -4,7 +4,7 @@
 
 from hypothesis import given, strategies as st
 
-from dotterelpaddle.forwarding.blame import Suspicion, find_causes
+from dotterelpaddle.forwarding.crash_causes import Suspicion, find_causes
 from dotterelpaddle.ids import EndpointId, Fingerprint
 
 LEAST = 3
