--- a/dotterelpaddle/forwarding/placement.py
+++ b/dotterelpaddle/forwarding/placement.py
@@ -6,6 +6,7 @@
 from typing import TYPE_CHECKING
 
 from dotterelpaddle.exceptions import NoEndpoint
+from dotterelpaddle.forwarding.affinity import preferred_endpoint
 from dotterelpaddle.forwarding.cached_prompts import CachedPrompts
 from dotterelpaddle.forwarding.caches import part_tag, shared_parts
 from dotterelpaddle.forwarding.candidates import Candidates
@@ -19,7 +20,6 @@
     SAMPLE_SIZE,
     load_bound,
 )
-from dotterelpaddle.forwarding.homes import preferred_endpoint
 from dotterelpaddle.owners.shards import shard_entries
 
 if TYPE_CHECKING:
