--- a/dotterelpaddle/forwarding/client.py
+++ b/dotterelpaddle/forwarding/client.py
@@ -34,9 +34,9 @@
         RequestMetadata,
         WireCodec,
     )
+    from dotterelpaddle.forwarding.liveness import EndpointLiveness
     from dotterelpaddle.forwarding.model import EndpointEntry
     from dotterelpaddle.forwarding.notices import EndpointNotices
-    from dotterelpaddle.forwarding.signs import EndpointLiveness
     from dotterelpaddle.ids import EndpointId
     from dotterelpaddle.network import LinkedBackend
 
--- a/dotterelpaddle/forwarding/components.py
+++ b/dotterelpaddle/forwarding/components.py
@@ -20,6 +20,7 @@
 from dotterelpaddle.forwarding.health import HealthTracker
 from dotterelpaddle.forwarding.isolation import IsolationDetector
 from dotterelpaddle.forwarding.leaving import LeavingEndpoints
+from dotterelpaddle.forwarding.liveness import EndpointLiveness
 from dotterelpaddle.forwarding.loads import LoadTracker
 from dotterelpaddle.forwarding.metrics import (
     ForwardMetrics,
@@ -32,7 +33,6 @@
 from dotterelpaddle.forwarding.repeats import RetryBudget
 from dotterelpaddle.forwarding.request_totals import TotalsTracker
 from dotterelpaddle.forwarding.residency import ResidencyPolicy
-from dotterelpaddle.forwarding.signs import EndpointLiveness
 from dotterelpaddle.forwarding.timeouts import TimeoutEstimator
 from dotterelpaddle.forwarding.view import FleetView
 from dotterelpaddle.network import LinkedBackend
--- a/dotterelpaddle/tests/forwarding/test_signs.py
+++ b/dotterelpaddle/tests/forwarding/test_liveness.py
@@ -11,7 +11,7 @@
 import pytest
 
 from dotterelpaddle.address import Address
-from dotterelpaddle.forwarding.signs import (
+from dotterelpaddle.forwarding.liveness import (
     MAX_SILENCE_SECONDS,
     MIN_OVERTAKING_ANSWERS,
     EndpointLiveness,
