--- a/dotterelpaddle/forwarding/attempts.py
+++ b/dotterelpaddle/forwarding/attempts.py
@@ -40,8 +40,8 @@
     from dotterelpaddle.forwarding.metrics import ForwardMetrics
     from dotterelpaddle.forwarding.reachability import Reachability
     from dotterelpaddle.forwarding.relays import Relay
-    from dotterelpaddle.forwarding.repeats import RetryBudget
     from dotterelpaddle.forwarding.residency import ResidencyPolicy
+    from dotterelpaddle.forwarding.retry_budget import RetryBudget
     from dotterelpaddle.forwarding.timeouts import TimeoutEstimator
     from dotterelpaddle.ids import EndpointId
     from dotterelpaddle.owners.placing import OwnerPlacer
--- a/dotterelpaddle/forwarding/components.py
+++ b/dotterelpaddle/forwarding/components.py
@@ -30,9 +30,9 @@
 from dotterelpaddle.forwarding.notices import EndpointNotices
 from dotterelpaddle.forwarding.placement import ForwardPlacer
 from dotterelpaddle.forwarding.reachability import Reachability
-from dotterelpaddle.forwarding.repeats import RetryBudget
 from dotterelpaddle.forwarding.request_totals import TotalsTracker
 from dotterelpaddle.forwarding.residency import ResidencyPolicy
+from dotterelpaddle.forwarding.retry_budget import RetryBudget
 from dotterelpaddle.forwarding.timeouts import TimeoutEstimator
 from dotterelpaddle.forwarding.view import FleetView
 from dotterelpaddle.network import LinkedBackend
--- a/dotterelpaddle/forwarding/filters.py
+++ b/dotterelpaddle/forwarding/filters.py
@@ -34,7 +34,7 @@
     from dotterelpaddle.forwarding.exchange import ForwardExchange
     from dotterelpaddle.forwarding.model import ForwardRoute
     from dotterelpaddle.forwarding.relays import Relay
-    from dotterelpaddle.forwarding.repeats import RetryBudget
+    from dotterelpaddle.forwarding.retry_budget import RetryBudget
     from dotterelpaddle.forwarding.view import FleetView
     from dotterelpaddle.ids import ServiceName
 
--- a/dotterelpaddle/forwarding/metrics.py
+++ b/dotterelpaddle/forwarding/metrics.py
@@ -16,7 +16,7 @@
     from dotterelpaddle.forwarding.exchange import ForwardExchange
     from dotterelpaddle.forwarding.follower import Follower
     from dotterelpaddle.forwarding.loads import LoadTracker
-    from dotterelpaddle.forwarding.repeats import RetryBudget
+    from dotterelpaddle.forwarding.retry_budget import RetryBudget
     from dotterelpaddle.forwarding.view import FleetView
     from dotterelpaddle.peers.directory import PeerDirectory
 
--- a/dotterelpaddle/forwarding/settings.py
+++ b/dotterelpaddle/forwarding/settings.py
@@ -8,7 +8,7 @@
 from dotterelpaddle.address import Address
 from dotterelpaddle.config.plain import Section, parse_yaml
 from dotterelpaddle.exceptions import SettingsError
-from dotterelpaddle.forwarding.repeats import RetryLimits
+from dotterelpaddle.forwarding.retry_budget import RetryLimits
 from dotterelpaddle.ids import FailureDomain, Region, RouterId
 
 if TYPE_CHECKING:
--- a/dotterelpaddle/peers/exchange.py
+++ b/dotterelpaddle/peers/exchange.py
@@ -34,8 +34,8 @@
     from dotterelpaddle.forwarding.crashes import CrashTracker
     from dotterelpaddle.forwarding.follower import Follower
     from dotterelpaddle.forwarding.loads import LoadTracker
-    from dotterelpaddle.forwarding.repeats import RetryBudget
     from dotterelpaddle.forwarding.request_totals import TotalsTracker
+    from dotterelpaddle.forwarding.retry_budget import RetryBudget
     from dotterelpaddle.forwarding.use_queue import PartUse
     from dotterelpaddle.forwarding.view import FleetView
     from dotterelpaddle.owners.asking import OwnerExchange
--- a/dotterelpaddle/tests/forwarding/test_repeats.py
+++ b/dotterelpaddle/tests/forwarding/test_retry_budget.py
@@ -6,16 +6,16 @@
 from hypothesis import strategies as st
 from hypothesis.stateful import RuleBasedStateMachine, initialize, invariant, rule
 
-from dotterelpaddle.forwarding.repeats import (
-    ROUTER_COUNT_MEMORY_SECONDS,
-    RetryBudget,
-    RetryLimits,
-)
 from dotterelpaddle.forwarding.request_totals import (
     RequestTotals,
     TotalsScope,
     TotalsTracker,
 )
+from dotterelpaddle.forwarding.retry_budget import (
+    ROUTER_COUNT_MEMORY_SECONDS,
+    RetryBudget,
+    RetryLimits,
+)
 from dotterelpaddle.ids import FailureDomain, RouterId, ServiceName
 
 SERVICE = ServiceName("records")
--- a/dotterelpaddle/tests/owners/hosts.py
+++ b/dotterelpaddle/tests/owners/hosts.py
@@ -17,7 +17,7 @@
     Dependencies,
     build_components,
 )
-from dotterelpaddle.forwarding.repeats import RetryLimits
+from dotterelpaddle.forwarding.retry_budget import RetryLimits
 from dotterelpaddle.forwarding.settings import ForwardSettings
 from dotterelpaddle.ids import FailureDomain, RouterId
 from dotterelpaddle.links import Links
--- a/dotterelpaddle/tests/peers/fleet.py
+++ b/dotterelpaddle/tests/peers/fleet.py
@@ -18,8 +18,8 @@
 if TYPE_CHECKING:
     from dotterelpaddle.forwarding.caches import CacheMap
     from dotterelpaddle.forwarding.loads import LoadTracker
-    from dotterelpaddle.forwarding.repeats import RetryBudget
     from dotterelpaddle.forwarding.request_totals import TotalsTracker
+    from dotterelpaddle.forwarding.retry_budget import RetryBudget
     from dotterelpaddle.peers.directory import PeerDirectory
     from dotterelpaddle.peers.plan import ReportPlan
     from dotterelpaddle.peers.word import PeerSummary
