--- a/dotterelpaddle/forwarding/components.py
+++ b/dotterelpaddle/forwarding/components.py
@@ -14,7 +14,6 @@
 from dotterelpaddle.forwarding.cold import ColdEndpoints
 from dotterelpaddle.forwarding.crash_guard import CrashGuard
 from dotterelpaddle.forwarding.crashes import CrashTracker
-from dotterelpaddle.forwarding.endings import TerminationProber
 from dotterelpaddle.forwarding.filters import DeadlineFilter, ForwardFilter, RouteFilter
 from dotterelpaddle.forwarding.follower import Follower
 from dotterelpaddle.forwarding.health import HealthTracker
@@ -33,6 +32,7 @@
 from dotterelpaddle.forwarding.request_totals import TotalsTracker
 from dotterelpaddle.forwarding.residency import ResidencyPolicy
 from dotterelpaddle.forwarding.retry_budget import RetryBudget
+from dotterelpaddle.forwarding.termination_probes import TerminationProber
 from dotterelpaddle.forwarding.timeouts import TimeoutEstimator
 from dotterelpaddle.forwarding.view import FleetView
 from dotterelpaddle.network import LinkedBackend
--- a/dotterelpaddle/forwarding/crash_guard.py
+++ b/dotterelpaddle/forwarding/crash_guard.py
@@ -15,12 +15,12 @@
 
     from dotterelpaddle.clock import Clock
     from dotterelpaddle.forwarding.crashes import CrashTracker
-    from dotterelpaddle.forwarding.endings import TerminationProber
     from dotterelpaddle.forwarding.exchange import ForwardExchange
     from dotterelpaddle.forwarding.metrics import ForwardMetrics
     from dotterelpaddle.forwarding.model import EndpointEntry
     from dotterelpaddle.forwarding.progress import AttemptProgress
     from dotterelpaddle.forwarding.relays import Relay
+    from dotterelpaddle.forwarding.termination_probes import TerminationProber
 
 log = get_logger(name=__name__)
 
--- a/dotterelpaddle/tests/forwarding/test_endings.py
+++ b/dotterelpaddle/tests/forwarding/test_termination_probes.py
@@ -13,9 +13,9 @@
 from dotterelpaddle.clock import monotonic
 from dotterelpaddle.exceptions import RequestBlocked
 from dotterelpaddle.forwarding.crashes import MIN_CRASHES_TO_BLOCK, CrashTracker
-from dotterelpaddle.forwarding.endings import TerminationProber
 from dotterelpaddle.forwarding.model import EndpointState
 from dotterelpaddle.forwarding.reachability import Reachability
+from dotterelpaddle.forwarding.termination_probes import TerminationProber
 from dotterelpaddle.forwarding.view import FleetView
 from dotterelpaddle.ids import EndpointId, FailureDomain, Fingerprint
 from dotterelpaddle.links import Links
