--- a/dotterelpaddle/daemon/__main__.py
+++ b/dotterelpaddle/daemon/__main__.py
@@ -13,7 +13,7 @@
 from pathlib import Path
 from typing import TYPE_CHECKING
 
-from dotterelpaddle.daemon.lean import skip_unused_imports
+from dotterelpaddle.daemon.unused_imports import skip_unused_imports
 from dotterelpaddle.exceptions import SettingsError
 from dotterelpaddle.forwarding.settings import load_settings
 from dotterelpaddle.listening import bind
