--- a/dotterelpaddle/forwarding/components.py
+++ b/dotterelpaddle/forwarding/components.py
@@ -48,7 +48,7 @@
 from dotterelpaddle.peers.fetching import Fetcher
 from dotterelpaddle.peers.messages import PeerInfo
 from dotterelpaddle.peers.plan import ReportPlan
-from dotterelpaddle.peers.word import PeerSummary
+from dotterelpaddle.peers.summary import PeerSummary
 from dotterelpaddle.pipeline import compose
 
 if TYPE_CHECKING:
--- a/dotterelpaddle/peers/cache_lists.py
+++ b/dotterelpaddle/peers/cache_lists.py
@@ -25,7 +25,7 @@
     from dotterelpaddle.forwarding.view import FleetView
     from dotterelpaddle.ids import FailureDomain
     from dotterelpaddle.owners.shards import ShardMap
-    from dotterelpaddle.peers.word import PeerSummary
+    from dotterelpaddle.peers.summary import PeerSummary
 
 log = get_logger(name=__name__)
 
--- a/dotterelpaddle/peers/exchange.py
+++ b/dotterelpaddle/peers/exchange.py
@@ -43,7 +43,7 @@
     from dotterelpaddle.peers.directory import PeerDirectory
     from dotterelpaddle.peers.messages import PeerInfo
     from dotterelpaddle.peers.plan import Recipient, ReportPlan
-    from dotterelpaddle.peers.word import PeerSummary
+    from dotterelpaddle.peers.summary import PeerSummary
 
 log = get_logger(name=__name__)
 
--- a/dotterelpaddle/peers/fetching.py
+++ b/dotterelpaddle/peers/fetching.py
@@ -28,7 +28,7 @@
     from dotterelpaddle.network import LinkedBackend
     from dotterelpaddle.peers.cache_lists import CacheDiscovery
     from dotterelpaddle.peers.directory import Peer, PeerDirectory
-    from dotterelpaddle.peers.word import PeerSummary
+    from dotterelpaddle.peers.summary import PeerSummary
 
 log = get_logger(name=__name__)
 
--- a/dotterelpaddle/tests/peers/fleet.py
+++ b/dotterelpaddle/tests/peers/fleet.py
@@ -22,7 +22,7 @@
     from dotterelpaddle.forwarding.retry_budget import RetryBudget
     from dotterelpaddle.peers.directory import PeerDirectory
     from dotterelpaddle.peers.plan import ReportPlan
-    from dotterelpaddle.peers.word import PeerSummary
+    from dotterelpaddle.peers.summary import PeerSummary
 
 CONTROL = Address(host="10.9.9.9", port=9)
 
--- a/dotterelpaddle/tests/peers/test_word.py
+++ b/dotterelpaddle/tests/peers/test_summary.py
@@ -13,7 +13,7 @@
 from dotterelpaddle.ids import FailureDomain, Revision, RouterId
 from dotterelpaddle.peers.directory import PEER_TIMEOUT_SECONDS, PeerDirectory
 from dotterelpaddle.peers.messages import PeerInfo, PeerReport
-from dotterelpaddle.peers.word import PeerSummary
+from dotterelpaddle.peers.summary import PeerSummary
 from dotterelpaddle.tests.forwarding.entries import make_entry
 
 OWN = Address(host="10.0.0.1", port=1)
