--- a/dotterelpaddle/forwarding/components.py
+++ b/dotterelpaddle/forwarding/components.py
@@ -42,7 +42,7 @@
 from dotterelpaddle.owners.placing import OwnerPlacer
 from dotterelpaddle.owners.shards import ShardMap
 from dotterelpaddle.owners.telling import InFlightReporter
-from dotterelpaddle.peers.cache_lists import CacheDiscovery
+from dotterelpaddle.peers.cache_discovery import CacheDiscovery
 from dotterelpaddle.peers.directory import PeerDirectory
 from dotterelpaddle.peers.exchange import PeerExchange
 from dotterelpaddle.peers.fetching import Fetcher
--- a/dotterelpaddle/peers/fetching.py
+++ b/dotterelpaddle/peers/fetching.py
@@ -26,7 +26,7 @@
     from dotterelpaddle.forwarding.interface import DocumentDecoder
     from dotterelpaddle.forwarding.view import FleetView
     from dotterelpaddle.network import LinkedBackend
-    from dotterelpaddle.peers.cache_lists import CacheDiscovery
+    from dotterelpaddle.peers.cache_discovery import CacheDiscovery
     from dotterelpaddle.peers.directory import Peer, PeerDirectory
     from dotterelpaddle.peers.summary import PeerSummary
 
--- a/dotterelpaddle/tests/peers/test_cache_lists.py
+++ b/dotterelpaddle/tests/peers/test_cache_discovery.py
@@ -14,7 +14,7 @@
 from dotterelpaddle.forwarding.view import FleetView
 from dotterelpaddle.ids import EndpointId, FailureDomain, ModelId, Revision
 from dotterelpaddle.owners.shards import ShardMap
-from dotterelpaddle.peers.cache_lists import (
+from dotterelpaddle.peers.cache_discovery import (
     GIVE_UP_SECONDS,
     MAX_ENGINES_QUERIED_BY_ALL,
     QUERY_DELAY_SECONDS,
