--- a/dotterelpaddle/peers/messages.py
+++ b/dotterelpaddle/peers/messages.py
@@ -27,7 +27,7 @@
     ServiceName,
 )
 from dotterelpaddle.peers.crash_notes import decode_notes, encode_notes
-from dotterelpaddle.peers.starts import LatestIncarnations, decode_endpoints
+from dotterelpaddle.peers.incarnations import LatestIncarnations, decode_endpoints
 
 if TYPE_CHECKING:
     from collections.abc import Callable, Mapping
--- a/dotterelpaddle/peers/snapshot.py
+++ b/dotterelpaddle/peers/snapshot.py
@@ -16,7 +16,7 @@
 from dotterelpaddle.exceptions import ControlError, RecordError
 from dotterelpaddle.forwarding.interface import EndpointsUpdate
 from dotterelpaddle.ids import EndpointName, Revision
-from dotterelpaddle.peers.starts import LatestIncarnations, decode_endpoints
+from dotterelpaddle.peers.incarnations import LatestIncarnations, decode_endpoints
 
 if TYPE_CHECKING:
     from dotterelpaddle.forwarding.caches import CacheMap
