--- a/dotterelpaddle/forwarding/components.py
+++ b/dotterelpaddle/forwarding/components.py
@@ -36,8 +36,8 @@
 from dotterelpaddle.forwarding.timeouts import TimeoutEstimator
 from dotterelpaddle.forwarding.view import FleetView
 from dotterelpaddle.network import LinkedBackend
-from dotterelpaddle.owners.asking import OwnerExchange
 from dotterelpaddle.owners.counts import ShardCounts
+from dotterelpaddle.owners.exchange import OwnerExchange
 from dotterelpaddle.owners.owner import Owner
 from dotterelpaddle.owners.placing import OwnerPlacer
 from dotterelpaddle.owners.shards import ShardMap
--- a/dotterelpaddle/owners/placing.py
+++ b/dotterelpaddle/owners/placing.py
@@ -20,7 +20,7 @@
     from dotterelpaddle.forwarding.placement import ForwardPlacer
     from dotterelpaddle.forwarding.view import FleetView
     from dotterelpaddle.ids import EndpointId, FailureDomain, RouterId, ServiceName
-    from dotterelpaddle.owners.asking import OwnerExchange
+    from dotterelpaddle.owners.exchange import OwnerExchange
     from dotterelpaddle.owners.messages import Grant
     from dotterelpaddle.owners.shards import ShardMap
     from dotterelpaddle.owners.telling import InFlightReporter
--- a/dotterelpaddle/peers/exchange.py
+++ b/dotterelpaddle/peers/exchange.py
@@ -38,7 +38,7 @@
     from dotterelpaddle.forwarding.retry_budget import RetryBudget
     from dotterelpaddle.forwarding.use_queue import PartUse
     from dotterelpaddle.forwarding.view import FleetView
-    from dotterelpaddle.owners.asking import OwnerExchange
+    from dotterelpaddle.owners.exchange import OwnerExchange
     from dotterelpaddle.peers.datagrams import DatagramSocket
     from dotterelpaddle.peers.directory import PeerDirectory
     from dotterelpaddle.peers.messages import PeerInfo
