--- a/dotterelpaddle/forwarding/attempts.py
+++ b/dotterelpaddle/forwarding/attempts.py
@@ -44,7 +44,7 @@
     from dotterelpaddle.forwarding.retry_budget import RetryBudget
     from dotterelpaddle.forwarding.timeouts import TimeoutEstimator
     from dotterelpaddle.ids import EndpointId
-    from dotterelpaddle.owners.placing import OwnerPlacer
+    from dotterelpaddle.owners.placer import OwnerPlacer
 
 log = get_logger(name=__name__)
 
--- a/dotterelpaddle/forwarding/components.py
+++ b/dotterelpaddle/forwarding/components.py
@@ -39,7 +39,7 @@
 from dotterelpaddle.owners.counts import ShardCounts
 from dotterelpaddle.owners.exchange import OwnerExchange
 from dotterelpaddle.owners.owner import Owner
-from dotterelpaddle.owners.placing import OwnerPlacer
+from dotterelpaddle.owners.placer import OwnerPlacer
 from dotterelpaddle.owners.shards import ShardMap
 from dotterelpaddle.owners.telling import InFlightReporter
 from dotterelpaddle.peers.cache_discovery import CacheDiscovery
