--- a/dotterelpaddle/forwarding/components.py
+++ b/dotterelpaddle/forwarding/components.py
@@ -40,8 +40,8 @@
 from dotterelpaddle.owners.exchange import OwnerExchange
 from dotterelpaddle.owners.owner import Owner
 from dotterelpaddle.owners.placer import OwnerPlacer
+from dotterelpaddle.owners.reporting import InFlightReporter
 from dotterelpaddle.owners.shards import ShardMap
-from dotterelpaddle.owners.telling import InFlightReporter
 from dotterelpaddle.peers.cache_discovery import CacheDiscovery
 from dotterelpaddle.peers.directory import PeerDirectory
 from dotterelpaddle.peers.exchange import PeerExchange
--- a/dotterelpaddle/owners/exchange.py
+++ b/dotterelpaddle/owners/exchange.py
@@ -26,7 +26,7 @@
     from dotterelpaddle.ids import FailureDomain, RouterId
     from dotterelpaddle.owners.messages import PlacementQuery
     from dotterelpaddle.owners.owner import Owner
-    from dotterelpaddle.owners.telling import InFlightReporter, PendingGrant
+    from dotterelpaddle.owners.reporting import InFlightReporter, PendingGrant
     from dotterelpaddle.peers.datagrams import DatagramSocket
     from dotterelpaddle.peers.directory import PeerDirectory
     from dotterelpaddle.peers.messages import PeerInfo
--- a/dotterelpaddle/owners/placer.py
+++ b/dotterelpaddle/owners/placer.py
@@ -22,8 +22,8 @@
     from dotterelpaddle.ids import EndpointId, FailureDomain, RouterId, ServiceName
     from dotterelpaddle.owners.exchange import OwnerExchange
     from dotterelpaddle.owners.messages import Grant
+    from dotterelpaddle.owners.reporting import InFlightReporter
     from dotterelpaddle.owners.shards import ShardMap
-    from dotterelpaddle.owners.telling import InFlightReporter
     from dotterelpaddle.peers.directory import PeerDirectory
 
 MAX_SHARDS_ASKED = 2
--- a/dotterelpaddle/tests/owners/test_counts.py
+++ b/dotterelpaddle/tests/owners/test_counts.py
@@ -19,7 +19,7 @@
 from dotterelpaddle.tests.owners.world import OwnerHarness, RequestingRouter, total
 
 if TYPE_CHECKING:
-    from dotterelpaddle.owners.telling import PendingGrant
+    from dotterelpaddle.owners.reporting import PendingGrant
 
 ROUTERS = 4
 INDEX = st.integers(min_value=0, max_value=ROUTERS - 1)
--- a/dotterelpaddle/tests/owners/world.py
+++ b/dotterelpaddle/tests/owners/world.py
@@ -27,8 +27,8 @@
 from dotterelpaddle.owners.counts import ShardCounts
 from dotterelpaddle.owners.messages import GrantRequest, PlacementQuery
 from dotterelpaddle.owners.owner import Owner
+from dotterelpaddle.owners.reporting import InFlightReporter
 from dotterelpaddle.owners.shards import ShardMap
-from dotterelpaddle.owners.telling import InFlightReporter
 from dotterelpaddle.tests.forwarding.entries import (
     make_entry,
     make_request,
@@ -38,7 +38,7 @@
 if TYPE_CHECKING:
     from dotterelpaddle.forwarding.interface import ForwardRequest
     from dotterelpaddle.owners.messages import Grant, InFlightReport
-    from dotterelpaddle.owners.telling import PendingGrant
+    from dotterelpaddle.owners.reporting import PendingGrant
 
 HERE, THERE = FailureDomain("here"), FailureDomain("there")
 SERVICE = ServiceName("engines")
