--- a/dotterelpaddle/owners/exchange.py
+++ b/dotterelpaddle/owners/exchange.py
@@ -9,6 +9,7 @@
 from dotterelpaddle.exceptions import ControlError
 from dotterelpaddle.logs import get_logger
 from dotterelpaddle.owners.counts import REPORT_INTERVAL_SECONDS
+from dotterelpaddle.owners.failover import failover_order
 from dotterelpaddle.owners.messages import (
     Grant,
     GrantRequest,
@@ -16,7 +17,6 @@
     decode,
     encode,
 )
-from dotterelpaddle.owners.successors import failover_order
 
 if TYPE_CHECKING:
     from collections.abc import Iterator
--- a/dotterelpaddle/tests/owners/test_successors.py
+++ b/dotterelpaddle/tests/owners/test_failover.py
@@ -4,7 +4,7 @@
 
 from dotterelpaddle.address import Address
 from dotterelpaddle.ids import FailureDomain, RouterId
-from dotterelpaddle.owners.successors import MAX_OWNERS_ASKED, failover_order
+from dotterelpaddle.owners.failover import MAX_OWNERS_ASKED, failover_order
 from dotterelpaddle.peers.messages import PeerInfo
 
 DOMAINS = tuple(FailureDomain(name) for name in "abcde")
