--- a/dotterelpaddle/tests/owners/test_counts.py
+++ b/dotterelpaddle/tests/owners/test_counts.py
@@ -16,7 +16,7 @@
     decode,
     encode,
 )
-from dotterelpaddle.tests.owners.world import OwnerHarness, RequestingRouter, total
+from dotterelpaddle.tests.owners.harness import OwnerHarness, RequestingRouter, total
 
 if TYPE_CHECKING:
     from dotterelpaddle.owners.reporting import PendingGrant
--- a/dotterelpaddle/tests/owners/test_owner.py
+++ b/dotterelpaddle/tests/owners/test_owner.py
@@ -15,7 +15,7 @@
 from dotterelpaddle.ids import EndpointId, FailureDomain, Revision, RouterId
 from dotterelpaddle.owners.counts import REPORT_INTERVAL_SECONDS, REPORT_TTL_SECONDS
 from dotterelpaddle.tests.forwarding.entries import make_entry, make_request
-from dotterelpaddle.tests.owners.world import (
+from dotterelpaddle.tests.owners.harness import (
     SLOTS,
     THERE,
     OwnerHarness,
--- a/dotterelpaddle/tests/owners/test_reporting.py
+++ b/dotterelpaddle/tests/owners/test_reporting.py
@@ -7,7 +7,7 @@
 from __future__ import annotations
 
 from dotterelpaddle.owners.counts import REPORT_INTERVAL_SECONDS, REPORT_TTL_SECONDS
-from dotterelpaddle.tests.owners.world import (
+from dotterelpaddle.tests.owners.harness import (
     HERE,
     THERE,
     OwnerHarness,
