--- a/dotterelpaddle/forwarding/caches.py
+++ b/dotterelpaddle/forwarding/caches.py
@@ -208,4 +208,4 @@
 
 def part_tag(*, model: ModelId, part: PromptPart) -> PartTag:
     """Short name of a part as one model caches it."""
-    return tag(text=f"{model}/{part.part}")
+    return tag(text=f"{model}/{part.digest}")
--- a/dotterelpaddle/forwarding/caller_protocol.py
+++ b/dotterelpaddle/forwarding/caller_protocol.py
@@ -16,7 +16,7 @@
 
 log = get_logger(name=__name__)
 
-DEFAULT_IDLE_TIMEOUT_SECONDS = 15.0
+DEFAULT_IDLE_SECONDS = 15.0
 """Seconds that a connection may stay idle while no configuration says otherwise.
 
 Longer than uvicorn's five: a request that crosses the close of a connection costs
@@ -50,9 +50,9 @@
             """Start to serve; a caller that sends nothing is idle."""
             super().connection_made(transport)
             bounds = limits()
-            self.timeout_keep_alive = (
-                bounds.idle_timeout if bounds else DEFAULT_IDLE_TIMEOUT_SECONDS
-            )  # type: ignore[assignment]
+            self.timeout_keep_alive = (  # type: ignore[assignment]
+                bounds.idle_timeout if bounds else DEFAULT_IDLE_SECONDS
+            )
             self.timeout_keep_alive_task = self.loop.call_later(
                 self.timeout_keep_alive, self.timeout_keep_alive_handler
             )
--- a/dotterelpaddle/forwarding/client.py
+++ b/dotterelpaddle/forwarding/client.py
@@ -143,7 +143,7 @@
             size += len(chunk)
             if size > MAX_ANSWER_BYTES:
                 raise AnswerBroken(
-                    f"the answer is over {MAX_ANSWER} bytes", peer=self._endpoint
+                    f"the answer is over {MAX_ANSWER_BYTES} bytes", peer=self._endpoint
                 )
             parts.append(chunk)
         return b"".join(parts)
--- a/dotterelpaddle/forwarding/crashes.py
+++ b/dotterelpaddle/forwarding/crashes.py
@@ -320,7 +320,7 @@
         ends = sorted(suspect.crashes.items(), key=lambda item: item[1].at)
         told = ", ".join(f"{name} {now - seen.at:.1f} s ago" for name, seen in ends)
         return RequestBlocked(
-            f"{len(ends)} endpoints ended under this request ({told}) and {tries} "
+            f"{len(ends)} endpoints ended under this request ({told}) and {attempts} "
             "are trying it; send another one, or this one later",
             retry_after=wait,
         )
--- a/dotterelpaddle/forwarding/filters.py
+++ b/dotterelpaddle/forwarding/filters.py
@@ -38,7 +38,7 @@
     from dotterelpaddle.forwarding.view import FleetView
     from dotterelpaddle.ids import ServiceName
 
-    Next = Callable[[ForwardExchange], Awaitable[None]]
+    NextFilter = Callable[[ForwardExchange], Awaitable[None]]
 
 UNCONFIGURED_RETRY_SECONDS = 0.3
 """Seconds after which a caller may come back to a router without configuration.
--- a/dotterelpaddle/forwarding/metrics.py
+++ b/dotterelpaddle/forwarding/metrics.py
@@ -79,7 +79,7 @@
         self._seconds.observe({"kind": kind}, seconds)
         route = exchange.route
         if route is not None and route.kind is RequestKind.STREAM:
-            objective = f"{route.pause_objective:g}"
+            objective = f"{route.gap_objective:g}"
             self._pauses.observe({"objective": objective}, exchange.reply.longest_pause)
 
     def observe_first_byte(self, *, service: str, seconds: float) -> None:
--- a/dotterelpaddle/forwarding/reachability.py
+++ b/dotterelpaddle/forwarding/reachability.py
@@ -162,7 +162,7 @@
         return tried is ConnectionOutcome.ESTABLISHED
 
 
-async def try_connection(
+async def probe_connection(
     *, backend: LinkedBackend, address: Address, timeout: float
 ) -> ConnectionOutcome:
     """Open a connection to an endpoint, and close it again.
--- a/dotterelpaddle/forwarding/relays.py
+++ b/dotterelpaddle/forwarding/relays.py
@@ -135,7 +135,9 @@
                 return
 
 
-async def read_whole(*, answer: ForwardAnswer, call: ForwardCall) -> BufferedAnswer:
+async def read_buffered_answer(
+    *, answer: ForwardAnswer, call: ForwardCall
+) -> BufferedAnswer:
     """Read an answer to its end.
 
     Raises:
--- a/dotterelpaddle/forwarding/router.py
+++ b/dotterelpaddle/forwarding/router.py
@@ -128,7 +128,7 @@
         tasks.cancel_scope.cancel()
 
 
-async def _keep_house(parts: Components) -> None:
+async def _run_housekeeping(parts: Components) -> None:
     knowledge = parts.state
     while True:
         await anyio.sleep(HOUSEKEEPING_INTERVAL_SECONDS)
--- a/dotterelpaddle/peers/datagrams.py
+++ b/dotterelpaddle/peers/datagrams.py
@@ -92,7 +92,7 @@
 
 
 @asynccontextmanager
-async def open_datagrams(
+async def open_datagram_socket(
     *, address: Address, links: Links
 ) -> AsyncIterator[DatagramSocket]:
     """Open the socket for the time of the context.
--- a/dotterelpaddle/peers/messages.py
+++ b/dotterelpaddle/peers/messages.py
@@ -33,8 +33,8 @@
     from collections.abc import Callable, Mapping
     from typing import Any
 
-    from dotterelpaddle.forwarding.caches import Use
     from dotterelpaddle.forwarding.crashes import CrashNote
+    from dotterelpaddle.forwarding.use_queue import PartUse
 
 FORMAT_VERSION = 3
 """Version of the format; reports of another one are dropped and counted."""
@@ -136,7 +136,7 @@
     ask: ReplyRequest = ReplyRequest.NOTHING
     routers: int = 1
     domains: tuple[FailureDomain, ...] = ()
-    uses: tuple[Use, ...] = ()
+    uses: tuple[PartUse, ...] = ()
     parts: int = 0
     peers: tuple[PeerInfo, ...] = ()
     owners: tuple[PeerInfo, ...] = ()
@@ -233,7 +233,9 @@
     try:
         fields = orjson.loads(datagram)
         if fields[0] != FORMAT_VERSION:
-            raise ControlError(f"a report of format {fields[0]!r}, not {FORMAT}")
+            raise ControlError(
+                f"a report of format {fields[0]!r}, not {FORMAT_VERSION}"
+            )
         uses = fields[16]
         starts = _optional_field(fields, INCARNATIONS_INDEX, ())
         reading = _optional_field(fields, QUEUED_TOKENS_INDEX, {})
--- a/dotterelpaddle/peers/snapshot.py
+++ b/dotterelpaddle/peers/snapshot.py
@@ -224,5 +224,7 @@
     except zlib.error as error:
         raise ControlError(f"a document that can't be expanded: {error}") from error
     if not expander.eof:
-        raise ControlError(f"a document that is cut off, or over {MOST_BYTES} bytes")
+        raise ControlError(
+            f"a document that is cut off, or over {MAX_DOCUMENT_BYTES} bytes"
+        )
     return document
--- a/dotterelpaddle/pipeline.py
+++ b/dotterelpaddle/pipeline.py
@@ -156,7 +156,7 @@
 """One step of a pipeline."""
 
 
-ExchangeT = TypeVar("E")
+ExchangeT = TypeVar("ExchangeT")
 """The exchange of a pipeline."""
 
 
--- a/dotterelpaddle/platform/configuration.py
+++ b/dotterelpaddle/platform/configuration.py
@@ -108,8 +108,9 @@
     names = optional_field(row, Field.ALLOWED_REGIONS, list, path, [])
     if not all(isinstance(name, str) for name in names):
         raise RecordError(
-            f"field '{path}{Field.REGIONS}' must hold names of regions, not {names!r}",
-            field=f"{path}{Field.REGIONS}",
+            f"field '{path}{Field.ALLOWED_REGIONS}' must hold names of regions, "
+            f"not {names!r}",
+            field=f"{path}{Field.ALLOWED_REGIONS}",
         )
     return frozenset(Region(name) for name in names)
 
--- a/dotterelpaddle/platform/decoding.py
+++ b/dotterelpaddle/platform/decoding.py
@@ -51,7 +51,8 @@
     ):
         return value
     raise RecordError(
-        f"field '{path}{name}' must be {_name_of(kind)}, not {value!r}",
+        f"field '{path}{name}' must be {_type_description(expected_type)}, "
+        f"not {value!r}",
         field=f"{path}{name}",
     )
 
--- a/dotterelpaddle/platform/endpoints.py
+++ b/dotterelpaddle/platform/endpoints.py
@@ -76,8 +76,8 @@
     )
     if started_at < 0:
         raise RecordError(
-            f"field '{path}{Field.STARTED_AT}' must be from 0 on, not {started_at}",
-            field=f"{path}{Field.STARTED_AT}",
+            f"field '{path}{Field.STARTED_AT_MS}' must be from 0 on, not {started_at}",
+            field=f"{path}{Field.STARTED_AT_MS}",
         )
     return Incarnation(started_at)
 
--- a/dotterelpaddle/platform/protocols.py
+++ b/dotterelpaddle/platform/protocols.py
@@ -140,7 +140,7 @@
         return max(0.0, float(text)) / 1000
     except ValueError as error:
         raise MalformedRequest(
-            f"{Header.TIME_LEFT.decode()} must be milliseconds, not {text!r}"
+            f"{Header.TIME_LEFT_MS.decode()} must be milliseconds, not {text!r}"
         ) from error
 
 
--- a/dotterelpaddle/tests/daemon/test_process.py
+++ b/dotterelpaddle/tests/daemon/test_process.py
@@ -74,8 +74,8 @@
 
 def test_daemon_loads_nothing_that_it_never_runs() -> None:
     listing = (
-        "import sys, dotterelpaddle.daemon.unused_imports as lean;"
-        "lean.skip_what_is_never_run();"
+        "import sys, dotterelpaddle.daemon.unused_imports;"
+        "dotterelpaddle.daemon.unused_imports.skip_unused_imports();"
         "import dotterelpaddle.daemon.process;"
         "print(*sys.modules)"
     )
--- a/dotterelpaddle/tests/forwarding/crash_world.py
+++ b/dotterelpaddle/tests/forwarding/crash_world.py
@@ -348,7 +348,7 @@
         )
 
 
-async def play(
+async def run_world(
     *,
     world: CrashWorld,
     script: Callable[[CrashWorld], Coroutine[Any, Any, None]],
--- a/dotterelpaddle/tests/forwarding/harness.py
+++ b/dotterelpaddle/tests/forwarding/harness.py
@@ -229,7 +229,7 @@
         yield fleet
 
 
-async def until(condition: Any) -> None:
+async def wait_until(condition: Any) -> None:
     """Wait until a condition holds.
 
     Raises:
--- a/dotterelpaddle/tests/forwarding/test_aggregation.py
+++ b/dotterelpaddle/tests/forwarding/test_aggregation.py
@@ -23,7 +23,7 @@
 @pytest.fixture(autouse=True)
 def small_mesh(monkeypatch: pytest.MonkeyPatch) -> None:
     """Let two routers aggregate for a third one."""
-    monkeypatch.setattr(plan, "MOST_IN_MESH", 2)
+    monkeypatch.setattr(plan, "MAX_MESH_ROUTERS", 2)
 
 
 async def _add_member(fleet: Fleet) -> int:
--- a/dotterelpaddle/tests/forwarding/test_follower.py
+++ b/dotterelpaddle/tests/forwarding/test_follower.py
@@ -118,8 +118,13 @@
 
 @pytest.fixture(autouse=True)
 def short_pauses(monkeypatch: pytest.MonkeyPatch) -> None:
-    pauses = ("ENDPOINTS_PAUSE", "LEAST_PAUSE", "LOOK_PAUSE", "RETRY_PAUSE")
-    for name in (*pauses, "PASSED_ON_PAUSE"):
+    pauses = (
+        "ENDPOINTS_INTERVAL_SECONDS",
+        "MIN_ENDPOINTS_INTERVAL_SECONDS",
+        "PEER_CHECK_INTERVAL_SECONDS",
+        "MIN_RETRY_DELAY_SECONDS",
+    )
+    for name in (*pauses, "GOSSIP_CHECK_INTERVAL_SECONDS"):
         monkeypatch.setattr(following, name, 0.002)
 
 
@@ -142,7 +147,7 @@
 async def test_word_that_is_too_old_is_not_relied_on(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    monkeypatch.setattr(following, "ENDPOINTS_TRUST", 0.01)
+    monkeypatch.setattr(following, "MAX_ENDPOINTS_AGE_SHARE", 0.01)
     word, source = ScriptedWord(), ScriptedSource()
     async with _follow(word, source):
         word.age = float("inf")
@@ -169,7 +174,7 @@
 async def test_long_call_ends_when_nobody_vouches_any_more(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    monkeypatch.setattr(following, "CONFIGURATION_TRUST", 0.2)
+    monkeypatch.setattr(following, "MAX_CONFIGURATION_AGE_SECONDS", 0.2)
     word, source = ScriptedWord(), ScriptedSource()
     async with _follow(word, source):
         await wait_until(lambda: source.waits)
@@ -203,7 +208,7 @@
 async def test_platform_that_nobody_heard_was_away(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    monkeypatch.setattr(following, "AWAY_AFTER", 0.05)
+    monkeypatch.setattr(following, "OUTAGE_AFTER_FAILURE_SECONDS", 0.05)
     word = ScriptedWord(behind=True)
     source, view = ScriptedSource(failing=True), RecordingView(clock=monotonic)
     async with _follow(word, source, view) as follower:
--- a/dotterelpaddle/tests/forwarding/test_reachability.py
+++ b/dotterelpaddle/tests/forwarding/test_reachability.py
@@ -29,7 +29,7 @@
             return await connect(backend, host, port, *rest, **more)
 
         monkeypatch.setattr(LinkedBackend, "connect_tcp", _connect)
-        monkeypatch.setattr(reachability, "PROBE_PAUSE", 0.01)
+        monkeypatch.setattr(reachability, "PROBE_INTERVAL_SECONDS", 0.01)
 
     async def off(self, *, fleet: Fleet) -> None:
         """Cut all endpoints off, and wait until the first router knows it."""
--- a/dotterelpaddle/tests/owners/fleet.py
+++ b/dotterelpaddle/tests/owners/fleet.py
@@ -370,7 +370,7 @@
         )
 
 
-async def play(
+async def simulate_fleet(
     *,
     fleet: SimulatedFleet,
     script: Callable[[SimulatedFleet], Coroutine[Any, Any, None]],
--- a/dotterelpaddle/tests/owners/test_routers.py
+++ b/dotterelpaddle/tests/owners/test_routers.py
@@ -24,7 +24,7 @@
 @pytest.fixture(autouse=True)
 def small_mesh(monkeypatch: pytest.MonkeyPatch) -> None:
     """Let two routers aggregate for the others, one of which owns all endpoints."""
-    monkeypatch.setattr(plan, "MOST_IN_MESH", 2)
+    monkeypatch.setattr(plan, "MAX_MESH_ROUTERS", 2)
 
 
 class OwnerProbe:
@@ -42,9 +42,9 @@
 
         answer = owner._owner.decide
 
-        def _answer(*, question: GrantRequest):
-            self.requests.append(question)
-            return answer(question=question)
+        def _answer(*, request: GrantRequest):
+            self.requests.append(request)
+            return answer(request=request)
 
         owner.receive = _receive  # type: ignore[method-assign]
         owner._owner.decide = _answer  # type: ignore[method-assign]
--- a/dotterelpaddle/tests/peers/test_cache_discovery.py
+++ b/dotterelpaddle/tests/peers/test_cache_discovery.py
@@ -62,7 +62,7 @@
             configuration=SimpleNamespace(version=1, routes=(route,))  # type: ignore[arg-type]
         )
         self.caches = CacheMap(clock=lambda: self.now)
-        self.word = SimpleNamespace(reads_first=first, owns=None)
+        self.word = SimpleNamespace(is_platform_reader=first, is_domain_owner=None)
         self.quiet = EndpointBackoffs(clock=lambda: self.now)
         self.lists = CacheDiscovery(
             view=self.view,
@@ -142,7 +142,7 @@
     """Hundreds of routers start at once; each hears of few others at first."""
     world = World(engines=59, first=True)
     await world.look(QUERY_DELAY_SECONDS)
-    world.word.owns = False
+    world.word.is_domain_owner = False
     await world.look(READER_SETTLED_SECONDS)
 
     assert world.caches.is_populated
@@ -151,9 +151,9 @@
 
 async def test_owner_asks_the_engines_of_its_failure_domain_once() -> None:
     world = World(engines=59, first=False)
-    world.word.owns = False
+    world.word.is_domain_owner = False
     await world.look(QUERY_DELAY_SECONDS)
-    world.word.owns = True
+    world.word.is_domain_owner = True
     await world.look(READER_SETTLED_SECONDS)
     asked = set(world.asked)
     world.asked.clear()
--- a/dotterelpaddle/tests/peers/test_snapshot.py
+++ b/dotterelpaddle/tests/peers/test_snapshot.py
@@ -136,7 +136,7 @@
 def test_document_that_expands_without_end_is_none(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    monkeypatch.setattr(snapshot, "MOST_BYTES", 1000)
+    monkeypatch.setattr(snapshot, "MAX_DOCUMENT_BYTES", 1000)
 
     with pytest.raises(ControlError, match="over 1000 bytes"):
         decode_snapshot(
--- a/dotterelpaddle/tests/test_line_logs.py
+++ b/dotterelpaddle/tests/test_line_logs.py
@@ -109,7 +109,7 @@
 
 
 def test_lines_that_wait_are_bounded(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(line_logs, "MOST_QUEUED", 1000)
+    monkeypatch.setattr(line_logs, "MAX_QUEUED_BYTES", 1000)
     world = PipeSink()
     for _ in range(100):
         world.sink.write(event="placed", fields={}, keep=True)
