--- a/dotterelpaddle/forwarding/caller_protocol.py
+++ b/dotterelpaddle/forwarding/caller_protocol.py
@@ -50,8 +50,8 @@
             """Start to serve; a caller that sends nothing is idle."""
             super().connection_made(transport)
             bounds = limits()
-            self.timeout_keep_alive = (  # type: ignore[assignment]
-                bounds.idle_timeout if bounds else DEFAULT_IDLE_SECONDS
+            self.timeout_keep_alive = (
+                bounds.idle_timeout if bounds else DEFAULT_IDLE_SECONDS  # type: ignore[assignment]
             )
             self.timeout_keep_alive_task = self.loop.call_later(
                 self.timeout_keep_alive, self.timeout_keep_alive_handler
