--- a/dotterelpaddle/peers/__init__.py
+++ b/dotterelpaddle/peers/__init__.py
@@ -1,1 +1,1 @@
-"""What routers that forward requests tell each other."""
+"""Exchange of state between the routers that forward requests."""
--- a/dotterelpaddle/peers/app.py
+++ b/dotterelpaddle/peers/app.py
@@ -1,4 +1,4 @@
-"""The ASGI application for other routers, and for those who collect metrics."""
+"""ASGI application that serves snapshots to other routers and metrics to scrapers."""
 
 from __future__ import annotations
 
@@ -25,12 +25,12 @@
 
 
 class ControlApp:
-    """Hands out what this router knows and has counted.
+    """Serves this router's configuration, its snapshot and its metrics.
 
     Args:
-        view: What it acts on.
-        caches: Where it knows parts of prompts to be.
-        metrics: Renders what it counted.
+        view: Configuration and endpoints in force.
+        caches: Prompt parts that each endpoint has cached.
+        metrics: Renders the metrics page.
     """
 
     def __init__(
@@ -44,7 +44,7 @@
     async def __call__(
         self, scope: Mapping[str, Any], receive: Receive, send: Send
     ) -> None:
-        """Answer one request."""
+        """Answer one request; an unknown path gets status 404."""
         match scope["path"]:
             case path if path == CONFIGURATION_PATH:
                 await _reply(send=send, status=200, body=self._configuration.content)
--- a/dotterelpaddle/peers/cache_discovery.py
+++ b/dotterelpaddle/peers/cache_discovery.py
@@ -1,7 +1,7 @@
-"""Asks endpoints what they have cached, where no router can tell.
+"""Queries engines for their cached prompt parts when no router knows them.
 
-That is so after all routers have stopped at once. In a large fleet only those that
-decide need to know: the owner of each failure domain asks the engines there.
+This happens after all routers have stopped at once. In a large fleet only owners need
+the cached parts: the owner of each failure domain queries the engines of its domain.
 """
 
 from __future__ import annotations
@@ -30,30 +30,31 @@
 log = get_logger(name=__name__)
 
 QUERY_DELAY_SECONDS = 0.03
-"""Seconds after the start from which a router that knows no places of parts, and
-hears of none, asks endpoints. A router that lives answers the first report within some
-5 ms. Where all have stopped, callers of the last third of a second wait at the door,
-and each moment that this takes makes more of their streams late."""
+"""Uptime from which a router queries engines if no peer has sent it cached parts. A
+running router answers the first report within some 5 ms. If all routers have stopped,
+requests of the last third of a second are waiting, and every further delay makes more
+of their streams late."""
 
 MAX_QUERY_WAIT_SECONDS = 0.06
-"""Seconds that requests wait for engines' lists; engines in reach need some 0.02 s, and
-those behind a cut would make streams wait for 0.3 s, by which they are late."""
+"""How long requests wait for the engines' answers. A reachable engine answers in some
+0.02 s; an unreachable one would hold streams up for 0.3 s, which makes them late."""
 
 MAX_ENGINES_QUERIED_BY_ALL = 16
-"""Engines that every router asks for itself, as it takes 0.1 s; of more one router
-asks all, since each question takes an engine some of its time."""
+"""Up to this many engines, every router queries all of them, which takes 0.1 s. With
+more engines a single router does, since each query costs the engine time."""
 
 READER_SETTLED_SECONDS = 1.0
-"""Seconds after the start until the router that asks for all is known to be that.
-Sooner most of hundreds of routers that start together hear of hardly any other one,
-take themselves for the first, and ask all engines."""
+"""Uptime from which the choice of the platform reader is reliable. When hundreds of
+routers start together, most have received hardly any reports before this time: each
+would consider itself the platform reader and query all engines."""
 
 GIVE_UP_SECONDS = 3.0
-"""Seconds after the start after which the others do without its answer."""
+"""Uptime from which the other routers stop waiting for the platform reader's
+results."""
 
 
 class QueryScope(Enum):
-    """Which engines a router asks."""
+    """Which engines a router queries."""
 
     LATER = "later"
     NONE = "none"
@@ -68,13 +69,14 @@
     is_domain_owner: bool | None,
     is_platform_reader: bool,
 ) -> QueryScope:
-    """Decide which engines a router asks that does not know their caches.
+    """Decide which engines a router without cached parts queries.
 
     Args:
-        engine_count: How many there are.
-        uptime: Seconds since its start.
-        is_domain_owner: Whether it decides for its failure domain; None where no owners are known.
-        is_platform_reader: Whether it reads for all routers that it hears.
+        engine_count: Number of engines in the fleet.
+        uptime: Seconds since the router started.
+        is_domain_owner: Whether the router owns its failure domain; None if no owner
+            is known.
+        is_platform_reader: Whether the router reads the platform for its peers.
     """
     if is_domain_owner is not None:
         return QueryScope.OWN_DOMAIN if is_domain_owner else QueryScope.NONE
@@ -88,16 +90,16 @@
 
 
 class CacheDiscovery:
-    """Learns from engines what they have cached.
+    """Queries engines for the prompt parts that they have cached.
 
     Args:
-        view: The engines.
-        caches: Where parts of prompts are.
-        peer_summary: Tells what part this router has among the others.
-        shards: Tells who decides for which engines.
-        quiet: Engines that want nothing from this router for a while.
-        reader: Asks an engine.
-        failure_domain: Where this router is.
+        view: The engines of the fleet.
+        caches: Receives the cached prompt parts.
+        peer_summary: Tells this router's role among its peers.
+        shards: Tells which failure domain owns which engine.
+        quiet: Engines that have asked this router to back off.
+        reader: Queries one engine.
+        failure_domain: Failure domain of this router.
         clock: Monotonic clock.
     """
 
@@ -125,19 +127,19 @@
         self._was_owner = False
 
     async def discover(self) -> None:
-        """Ask engines, if it is due and this router's part."""
-        owns = self._peer_summary.is_domain_owner
-        became_owner = bool(owns) and not self._was_owner
+        """Query the engines that this router is responsible for, if a query is due."""
+        is_owner = self._peer_summary.is_domain_owner
+        became_owner = bool(is_owner) and not self._was_owner
         if not self._view.complete or (self._caches.is_populated and not became_owner):
             return
-        asked = self._view.evacuations.exclude_evacuated(
+        eligible = self._view.evacuations.exclude_evacuated(
             entries=self._view.routed_entries
         )
-        engines = [entry for entry in asked if entry.models]
+        engines = [entry for entry in eligible if entry.models]
         match choose_query_scope(
             engine_count=len(engines),
             uptime=self._clock() - self._started_at,
-            is_domain_owner=owns,
+            is_domain_owner=is_owner,
             is_platform_reader=self._peer_summary.is_platform_reader,
         ):
             case QueryScope.NONE:
@@ -145,9 +147,9 @@
             case QueryScope.OWN_DOMAIN:
                 self._was_owner = True
                 own = self._failure_domain
-                owning = self._shards.owning_domain
+                domain_of = self._shards.owning_domain
                 await self._query(
-                    [each for each in engines if owning(endpoint=each.endpoint) == own]
+                    [one for one in engines if domain_of(endpoint=one.endpoint) == own]
                 )
             case QueryScope.ALL:
                 await self._query(engines)
@@ -155,23 +157,27 @@
     async def _query(self, engines: Sequence[EndpointEntry]) -> None:
         async with anyio.create_task_group() as tasks:
             tasks.start_soon(self._mark_populated_after_wait)
-            async with anyio.create_task_group() as reads:
+            async with anyio.create_task_group() as queries:
                 for entry in engines:
-                    reads.start_soon(self._query_engine, entry)
+                    queries.start_soon(self._query_engine, entry)
             tasks.cancel_scope.cancel()
         self._caches.mark_populated()
 
     async def _mark_populated_after_wait(self) -> None:
-        """Let requests go on while some engines have not answered.
+        """Stop holding requests up for engines that have not answered.
 
-        Engines behind a cut never do; what the others told is all that can be used.
+        An unreachable engine never answers; the router then uses the other answers.
         """
         await anyio.sleep(MAX_QUERY_WAIT_SECONDS)
         self._caches.mark_populated()
 
     async def _query_engine(self, entry: EndpointEntry) -> None:
         if self._quiet.is_backing_off(endpoint=entry.endpoint):
-            log.info("cache_unread", endpoint=entry.endpoint, cause="it wants quiet")
+            log.info(
+                "cache_unread",
+                endpoint=entry.endpoint,
+                cause="endpoint backoff is in effect",
+            )
             return
         try:
             cached = await self._reader.cached_parts(entry=entry)
--- a/dotterelpaddle/peers/crash_notes.py
+++ b/dotterelpaddle/peers/crash_notes.py
@@ -1,4 +1,7 @@
-"""Notes of requests under which endpoints ended, as they stand in reports."""
+"""Wire format of crash notes in the reports between routers.
+
+A crash note names a request during which an endpoint crashed.
+"""
 
 from __future__ import annotations
 
@@ -14,7 +17,7 @@
 
 
 def encode_notes(*, notes: Iterable[CrashNote]) -> list[Any]:
-    """Turn notes into fields of a report."""
+    """Encode crash notes as fields of a report; ages are in milliseconds there."""
     return [
         [
             note.kind.value,
@@ -28,15 +31,15 @@
 
 
 def decode_notes(*, fields: Iterable[Any]) -> tuple[CrashNote, ...]:
-    """Turn fields of a report back into notes.
+    """Decode crash notes from fields of a report.
 
-    Notes of kinds that only later releases know are passed over.
+    The decoder skips notes of unknown kinds, which later releases send.
 
     Raises:
-        TypeError: If they are no notes.
-        ValueError: Likewise.
+        TypeError: If a field has the wrong type.
+        ValueError: If a field has an invalid value.
     """
-    return tuple(_decode(each) for each in fields if each[0] in KNOWN_KINDS)
+    return tuple(_decode(note) for note in fields if note[0] in KNOWN_KINDS)
 
 
 def _decode(fields: Any) -> CrashNote:
--- a/dotterelpaddle/peers/datagrams.py
+++ b/dotterelpaddle/peers/datagrams.py
@@ -1,7 +1,7 @@
-"""The socket for datagrams between routers, which several tasks write to.
+"""UDP socket for the datagrams between routers; several tasks write to it.
 
-It is asyncio's own: anyio's takes a turn of the loop for each datagram that comes or
-goes, and a router without requests does little else than send and receive them.
+The module uses asyncio's datagram transport: anyio's socket takes one iteration of the
+event loop for each datagram, and an idle router does little but send and receive them.
 """
 
 from __future__ import annotations
@@ -23,12 +23,12 @@
 log = get_logger(name=__name__)
 
 MAX_QUEUED_DATAGRAMS = 2_000
-"""Datagrams that wait to be read, a second's of an aggregator; of more the oldest are
-dropped."""
+"""Queued datagrams, as many as an aggregator receives in a second; when the queue is
+full, a new datagram evicts the oldest."""
 
 
 class _ReceiveQueue(asyncio.DatagramProtocol):
-    """Keeps what has come in until it is read."""
+    """Queues received datagrams until a task reads them."""
 
     def __init__(self) -> None:
         self._queue: deque[tuple[bytes, Address]] = deque(maxlen=MAX_QUEUED_DATAGRAMS)
@@ -52,12 +52,12 @@
 
 
 class DatagramSocket:
-    """Sends and receives datagrams.
+    """Sends and receives datagrams over the links of this process.
 
     Args:
-        transport: The socket.
-        queue: What comes in.
-        links: The process's links.
+        transport: Transport of the underlying socket.
+        queue: Received datagrams.
+        links: Decides which datagrams arrive; tests and scenarios cut links.
     """
 
     def __init__(
@@ -73,19 +73,19 @@
 
     @property
     def address(self) -> Address:
-        """Where datagrams come in."""
+        """Local address of the socket."""
         host, port = self._transport.get_extra_info("sockname")
         return Address(host=host, port=port)
 
     async def receive(self) -> tuple[bytes, Address]:
-        """Return the next datagram that a link does not lose, and its sender."""
+        """Return the next datagram from a sender with an open link, and the sender."""
         while True:
             datagram, sender = await self._queue.receive()
             if self._links.is_open(peer=sender):
                 return datagram, sender
 
     async def send(self, datagram: bytes, target: Address) -> None:
-        """Send a datagram; one that can't be sent is lost like others."""
+        """Send a datagram; a closed or lossy link drops it without an error."""
         if not self._links.is_open(peer=target) or self._links.should_drop_datagram():
             return
         self._transport.sendto(datagram, (target.host, target.port))
@@ -95,17 +95,17 @@
 async def open_datagram_socket(
     *, address: Address, links: Links
 ) -> AsyncIterator[DatagramSocket]:
-    """Open the socket for the time of the context.
+    """Open the socket and close it when the context ends.
 
     Args:
-        address: Where datagrams come in; port 0 takes a free one.
-        links: The process's links.
+        address: Local address to bind; port 0 picks a free port.
+        links: Links of this process.
     """
     loop = asyncio.get_running_loop()
-    transport, inbox = await loop.create_datagram_endpoint(
+    transport, queue = await loop.create_datagram_endpoint(
         _ReceiveQueue, local_addr=(address.host, address.port), family=socket.AF_INET
     )
     try:
-        yield DatagramSocket(transport=transport, queue=inbox, links=links)
+        yield DatagramSocket(transport=transport, queue=queue, links=links)
     finally:
         transport.close()
--- a/dotterelpaddle/peers/incarnations.py
+++ b/dotterelpaddle/peers/incarnations.py
@@ -1,7 +1,7 @@
-"""Names of endpoints as routers tell them to each other.
+"""Wire format of endpoint ids in the messages between routers.
 
-A message names an endpoint as it registered, and its start in a list of its own:
-routers of releases that know of no starts read the names and pass over the list.
+A message holds the registered names of its endpoints, and their incarnations in a
+separate list: releases without incarnations read the names and ignore the list.
 """
 
 from __future__ import annotations
@@ -22,11 +22,11 @@
 
 
 class LatestIncarnations:
-    """The latest start of each endpoint that a message tells of.
+    """The latest incarnation of each endpoint in a message.
 
     Args:
-        endpoints: All that it tells of; earlier starts of an endpoint are left out,
-            as nothing of them matters any more.
+        endpoints: Ids of all endpoints in the message. The message leaves out earlier
+            incarnations of an endpoint: their processes have ended.
     """
 
     def __init__(self, *, endpoints: Iterable[EndpointId]) -> None:
@@ -38,13 +38,13 @@
 
     @property
     def encoded(self) -> list[int]:
-        """Starts in the order of the names; empty if no endpoint tells its start."""
+        """Incarnations in the order of the names; empty if none of them is known."""
         if not any(self._incarnations.values()):
             return []
         return [self._incarnations[name] for name in sorted(self._incarnations)]
 
     def name(self, *, endpoint: EndpointId) -> EndpointName | None:
-        """Name to tell an endpoint by, None for an earlier start of it."""
+        """Return an endpoint's name, None if the message has a later incarnation."""
         name, incarnation = split_endpoint_id(endpoint=endpoint)
         return name if incarnation == self._incarnations[name] else None
 
@@ -52,18 +52,20 @@
 def decode_endpoints(
     *, names: Iterable[str], incarnations: Sequence[int]
 ) -> dict[str, EndpointId]:
-    """Return the endpoints that a message tells of, by their names in it.
+    """Return the ids of the endpoints in a message, by their names in it.
 
     Args:
-        names: All names in it.
-        incarnations: Its list of starts, empty from a router that knows of none.
+        names: All endpoint names in the message.
+        incarnations: The message's list of incarnations, in the order of the distinct
+            names; empty from a release without incarnations.
 
     Raises:
-        ValueError: If there are starts, but not one for each name.
+        ValueError: If the list is not empty and its length differs from the number of
+            distinct names.
     """
     distinct = sorted(set(names))
-    told = incarnations or [UNKNOWN_INCARNATION] * len(distinct)
+    padded = incarnations or [UNKNOWN_INCARNATION] * len(distinct)
     return {
-        name: endpoint_id(name=EndpointName(name), incarnation=Incarnation(int(start)))
-        for name, start in zip(distinct, told, strict=True)
+        name: endpoint_id(name=EndpointName(name), incarnation=Incarnation(int(number)))
+        for name, number in zip(distinct, padded, strict=True)
     }
