--- a/dotterelpaddle/peers/fetching.py
+++ b/dotterelpaddle/peers/fetching.py
@@ -1,4 +1,4 @@
-"""Fetches from other routers what this router lacks."""
+"""Fetches missing configurations, endpoints and cached parts from other routers."""
 
 from __future__ import annotations
 
@@ -33,33 +33,33 @@
 log = get_logger(name=__name__)
 
 FETCH_TIMEOUT_SECONDS = 0.8
-"""Seconds that another router gets to hand out what it knows."""
+"""Timeout of a request to another router."""
 
 CHECK_INTERVAL_SECONDS = 0.25
-"""Seconds between looks at whether another router knows more."""
+"""Time between checks whether another router has newer state."""
 
 MIN_CHECKS_BEHIND = 2
-"""Looks in a row at which another router must know later endpoints before they are
-fetched from it: a call to the platform, which comes first, takes 4 ms."""
+"""Consecutive checks that must find newer endpoints at another router before this one
+fetches them: it calls the platform first, which takes 4 ms."""
 
 START_CHECK_INTERVAL_SECONDS = 0.03
-"""Seconds between looks while the places of parts are not known."""
+"""Time between checks while this router doesn't know the endpoints' cached parts."""
 
 SNAPSHOT_PATH = "/snapshot"
 CONFIGURATION_PATH = "/configuration"
 
 
 class Fetcher:
-    """Catches up with other routers.
+    """Fetches newer state from other routers.
 
     Args:
-        view: What this router acts on.
-        caches: Where parts of prompts are.
+        view: Receives configurations and endpoints.
+        caches: Receives the cached prompt parts of endpoints.
         directory: The other routers.
-        peer_summary: What they vouch for.
-        documents: Decodes what others hand out.
-        cache_discovery: Asks endpoints what they have cached.
-        platform_age: Tells the seconds since the platform's last word.
+        peer_summary: Tells which peer has newer endpoints.
+        documents: Decodes the fetched documents.
+        cache_discovery: Queries engines when no router knows their cached parts.
+        platform_age: Returns the seconds since the last answer of the platform.
         backend: Opens connections.
         clock: Monotonic clock.
         generator: Source of jitter.
@@ -98,15 +98,15 @@
         )
 
     async def run(self) -> None:
-        """Fetch what is lacking until cancelled."""
+        """Check for newer state and fetch it, until cancelled."""
         async with self._pool:
             while True:
-                pause = (
+                interval = (
                     CHECK_INTERVAL_SECONDS
                     if self._caches.is_populated
                     else START_CHECK_INTERVAL_SECONDS
                 )
-                await anyio.sleep(pause * self._generator.uniform(0.8, 1.2))
+                await anyio.sleep(interval * self._generator.uniform(0.8, 1.2))
                 peer = self._peer_ahead()
                 if peer is None:
                     await self._cache_discovery.discover()
@@ -121,41 +121,41 @@
                     )
 
     def _peer_ahead(self) -> Peer | None:
-        """The router that knows the most, if it knows more than this one."""
+        """Return the router to fetch from, None if no router has newer state."""
         alive = self._directory.alive
         if not alive:
             return None
-        latest = max(alive, key=lambda peer: peer.report.version)
-        if latest.report.version > self._view.version:
-            return latest
-        most = max(alive, key=lambda peer: peer.report.parts)
-        if most.report.parts and self._lacks_uses:
-            return most
-        newest = self._peer_summary.peer_ahead
-        self._checks_behind = 0 if newest is None else self._checks_behind + 1
-        # One that is told of all news by others does not call the platform.
+        newest = max(alive, key=lambda peer: peer.report.version)
+        if newest.report.version > self._view.version:
+            return newest
+        best_cached = max(alive, key=lambda peer: peer.report.parts)
+        if best_cached.report.parts and self._lacks_uses:
+            return best_cached
+        ahead = self._peer_summary.peer_ahead
+        self._checks_behind = 0 if ahead is None else self._checks_behind + 1
+        # A router that receives all endpoints from peers does not call the platform.
         at_once = (
             self._view.endpoints_revision is None
             or self._peer_summary.receives_endpoints
         )
-        return newest if at_once or self._checks_behind >= MIN_CHECKS_BEHIND else None
+        return ahead if at_once or self._checks_behind >= MIN_CHECKS_BEHIND else None
 
     @property
     def _lacks_uses(self) -> bool:
-        """Whether to fetch where parts of prompts are.
+        """Whether to fetch the cached prompt parts of endpoints.
 
-        In a large fleet owners know, and learn it from the engines themselves: 200 KB
-        for each of hundreds of routers that start at once would take one that hands
-        them out over a small link half a minute.
+        In a large fleet only owners need them, and they query the engines. If hundreds
+        of routers start at once and fetch 200 KB each, a router with a small link would
+        take half a minute to send it.
         """
         return not self._caches.is_populated and not self._peer_summary.is_large_fleet
 
     async def _fetch(self, *, peer: Peer) -> None:
-        """Fetch what another router knows.
+        """Fetch another router's newer state.
 
         Raises:
-            ControlError: If it gave no usable answer in time.
-            RecordError: If something that it knows can't be used here.
+            ControlError: If the router sent no usable answer in time.
+            RecordError: If this release can't use its configuration.
         """
         if peer.report.version > self._view.version:
             content = await self._get(peer=peer, target=CONFIGURATION_PATH)
@@ -197,11 +197,15 @@
             with anyio.fail_after(FETCH_TIMEOUT_SECONDS):
                 response = await self._pool.request("GET", url)
         except TimeoutError as error:
-            raise ControlError("no answer in time", peer=str(control)) from error
+            raise ControlError(
+                "peer did not answer in time", peer=str(control)
+            ) from error
         except (
             httpcore.NetworkError,
             httpcore.ProtocolError,
             httpcore.TimeoutException,
         ) as error:
-            raise ControlError(f"no answer: {error!r}", peer=str(control)) from error
+            raise ControlError(
+                f"request to peer failed: {error!r}", peer=str(control)
+            ) from error
         return response.content
--- a/dotterelpaddle/peers/plan.py
+++ b/dotterelpaddle/peers/plan.py
@@ -1,9 +1,10 @@
-"""Who is told what: each router each other one, or a few that aggregate for the rest.
+"""Chooses the recipients of reports: all routers in a mesh, or else aggregators.
 
-With a few routers all report to all. With more, a router reports to the
-aggregators of its failure domain, which tell it of all others; they tell those of other
-failure domains of their own one. So a report costs each router the same in a fleet
-of any size, and the aggregators as much as their failure domain is large.
+In a small fleet every router reports to every other one. In a larger fleet a router
+reports to the aggregators of its failure domain, and they send it totals of all other
+routers. Aggregators also send the totals of their domain to the aggregators of the
+other domains. Reports thus cost a router the same in a fleet of any size; an
+aggregator's cost grows with the size of its failure domain.
 """
 
 from __future__ import annotations
@@ -20,19 +21,20 @@
     from dotterelpaddle.peers.directory import PeerDirectory
 
 MAX_MESH_ROUTERS = 16
-"""Routers that all report to all: 15 reports of 300 bytes, five times a second, are
-23 KB/s; at 58 routers they would be 90 KB/s and a tenth of a small host's core."""
+"""Largest fleet in which every router reports to every other one. 15 reports of 300
+bytes, five times a second, are 23 KB/s; with 58 routers a mesh would take 90 KB/s and a
+tenth of a small host's core."""
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class Recipient:
-    """Who gets a report, and what of.
+    """A recipient of a report, and the kind of report that it gets.
 
     Attributes:
-        address: Where it goes.
-        scope: Whose requests it counts.
+        address: Address for reports.
+        scope: Routers whose requests the report counts.
         router: The recipient, None if only its address is known.
-        reply_request: What the recipient is asked in return.
+        reply_request: Reply that the sender requests from the recipient.
     """
 
     address: Address
@@ -46,7 +48,7 @@
 
     Args:
         directory: The other routers.
-        shares: What they told, and who wants to be told of all.
+        shares: Totals that other routers sent, and requests to aggregate.
     """
 
     def __init__(self, *, directory: PeerDirectory, shares: TotalsTracker) -> None:
@@ -55,23 +57,23 @@
 
     @property
     def router_count(self) -> int:
-        """Routers that this one knows of, itself included."""
+        """Number of routers that this one knows of, itself included."""
         return max(self._directory.router_count, self._shares.router_count)
 
     @property
     def is_mesh(self) -> bool:
-        """Whether all report to all."""
-        told = (peer.report.routers for peer in self._directory.alive)
-        return max(self.router_count, *told, 0) <= MAX_MESH_ROUTERS
+        """Whether each router reports to all others, as in a small fleet."""
+        counts = (peer.report.routers for peer in self._directory.alive)
+        return max(self.router_count, *counts, 0) <= MAX_MESH_ROUTERS
 
     def recipients(self) -> list[Recipient]:
-        """Tell who is due for a report now."""
+        """Return the recipients that are due for a report now."""
         if self.is_mesh:
             self._shares.has_aggregators = False
             self._shares.is_aggregator = True
             self._directory.update_liveness()
-            heard = [Recipient(address=each.address) for each in self._directory.alive]
-            return heard + _probes(self._directory.unreached_targets())
+            alive = [Recipient(address=peer.address) for peer in self._directory.alive]
+            return alive + _probes(self._directory.unreached_targets())
         return self._aggregated_recipients()
 
     def _aggregated_recipients(self) -> list[Recipient]:
@@ -83,17 +85,17 @@
         self._shares.is_aggregator = own in aggregators or bool(
             self._shares.aggregation_requesters
         )
-        asked = [
+        to_aggregators = [
             Recipient(
-                address=name.address,
-                router=name.router,
+                address=info.address,
+                router=info.router,
                 reply_request=ReplyRequest.AGGREGATE,
             )
-            for name in aggregators
-            if name != own
+            for info in aggregators
+            if info != own
         ]
-        recipients = asked + self._requesting_members(
-            without={each.router for each in asked}
+        recipients = to_aggregators + self._requesting_members(
+            without={recipient.router for recipient in to_aggregators}
         )
         if self._shares.is_aggregator:
             recipients += self._other_domains()
@@ -101,16 +103,17 @@
             directory.elect_owner()
         directory.expect_reports(
             routers=frozenset(
-                each.router
-                for each in recipients
-                if each.router is not None and each.scope is not TotalsScope.OTHERS
+                recipient.router
+                for recipient in recipients
+                if recipient.router is not None
+                and recipient.scope is not TotalsScope.OTHERS
             )
         )
         return recipients + _probes(directory.unresponsive_targets())
 
     def _requesting_members(self, *, without: set[RouterId | None]) -> list[Recipient]:
-        """Routers of the own failure domain that asked to be told of all others."""
-        asking = self._shares.aggregation_requesters - without
+        """Routers of the own failure domain that requested totals of all others."""
+        requesters = self._shares.aggregation_requesters - without
         return [
             Recipient(
                 address=peer.address,
@@ -118,23 +121,24 @@
                 scope=TotalsScope.OTHERS,
             )
             for peer in self._directory.alive
-            if peer.report.router in asking
+            if peer.report.router in requesters
         ]
 
     def _other_domains(self) -> list[Recipient]:
-        """The aggregators of the other failure domains."""
+        """Aggregators of the other failure domains."""
         directory = self._directory
         domains = directory.reachable_domains().keys() - {directory.own.failure_domain}
         return [
             Recipient(
-                address=name.address, router=name.router, scope=TotalsScope.DOMAIN
+                address=info.address, router=info.router, scope=TotalsScope.DOMAIN
             )
             for domain in sorted(domains)
-            for name in directory.aggregators(failure_domain=domain)
+            for info in directory.aggregators(failure_domain=domain)
         ]
 
 
 def _probes(addresses: list[Address]) -> list[Recipient]:
+    """Return recipients of which the sender requests an answer."""
     return [
         Recipient(address=address, reply_request=ReplyRequest.ANSWER)
         for address in addresses
--- a/dotterelpaddle/peers/snapshot.py
+++ b/dotterelpaddle/peers/snapshot.py
@@ -1,7 +1,7 @@
-"""What a router hands to another one that has fallen behind.
+"""Documents that a router sends to a peer with outdated state.
 
-Documents are compressed: a configuration of 1,600 routes has 335 KB, which takes a
-small host's link a quarter of a second and more, and 14 KB afterwards.
+The sender compresses documents: a configuration of 1,600 routes has 335 KB, which takes
+a small host's link a quarter of a second or more; compressed it has 14 KB.
 """
 
 from __future__ import annotations
@@ -28,20 +28,20 @@
 
 
 COMPRESSION_LEVEL = 1
-"""Level of zlib: routes repeat each other, and higher levels take several times the
-time for a tenth less."""
+"""zlib level: routes resemble each other, so that higher levels take several times as
+long and save only a tenth."""
 
 MAX_DOCUMENT_BYTES = 32 * 1024 * 1024
-"""Bytes of a document; the platform's largest configurations have 4 MB."""
+"""Largest decompressed document; the platform's largest configurations have 4 MB."""
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class Snapshot:
-    """What another router knows.
+    """State of another router.
 
     Attributes:
         endpoints: Its endpoints, None if it knows none.
-        uses: Where it knows parts of prompts to be.
+        uses: Prompt parts with the endpoints that have them cached.
     """
 
     endpoints: EndpointsUpdate | None
@@ -50,11 +50,11 @@
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class SnapshotRequest:
-    """What the asking router knows already.
+    """What the requesting router already has.
 
     Attributes:
         revision: Revision up to which it knows the endpoints, None for none.
-        uses: Whether it lacks the places of parts of prompts.
+        uses: Whether it requests the cached prompt parts of endpoints.
     """
 
     revision: Revision | None
@@ -62,7 +62,7 @@
 
     @property
     def query(self) -> str:
-        """The request as the query of a URL."""
+        """The request as a URL query string."""
         fields = {"uses": int(self.uses)}
         if self.revision is not None:
             fields["revision"] = self.revision
@@ -70,7 +70,7 @@
 
     @classmethod
     def parse(cls, *, query: str) -> SnapshotRequest:
-        """Read the query of a URL; what is no number counts as not known."""
+        """Parse a URL query string; a value that is no number counts as missing."""
         fields = {name: values[0] for name, values in parse_qs(query).items()}
         numbers = {name: int(text) for name, text in fields.items() if text.isdigit()}
         revision = numbers.get("revision")
@@ -83,29 +83,29 @@
 def encode_snapshot(
     *, view: FleetView, caches: CacheMap, request: SnapshotRequest
 ) -> bytes:
-    """Turn what another router lacks into a document for it."""
+    """Encode the state that the requesting router lacks as a document."""
     endpoints = view.endpoints_since(revision=request.revision)
     uses = caches.all_uses() if request.uses else []
-    told = LatestIncarnations(endpoints=(endpoint for _, endpoint in uses))
+    incarnations = LatestIncarnations(endpoints=(endpoint for _, endpoint in uses))
     document = orjson.dumps(
         {
             "endpoints": _encode_endpoints(endpoints) if endpoints else None,
             "uses": [
                 (part, name)
                 for part, endpoint in uses
-                if (name := told.name(endpoint=endpoint)) is not None
+                if (name := incarnations.name(endpoint=endpoint)) is not None
             ],
-            "starts": told.encoded,
+            "starts": incarnations.encoded,
         }
     )
     return zlib.compress(document, COMPRESSION_LEVEL)
 
 
 class ConfigurationDocument:
-    """The configuration in force as it is handed out, compressed once a version.
+    """The configuration in force as a document, compressed once for each version.
 
     Args:
-        view: What this router acts on.
+        view: Holds the configuration in force.
     """
 
     def __init__(self, *, view: FleetView) -> None:
@@ -126,53 +126,53 @@
 def decode_configuration(
     *, content: bytes, documents: DocumentDecoder
 ) -> FleetConfiguration | None:
-    """Turn a handed out configuration back into one, None if there was none.
+    """Decode a configuration document, None if the sender has no configuration.
 
     Raises:
-        ControlError: If it is no such document.
-        RecordError: If it can't be used.
+        ControlError: If the document can't be decompressed.
+        RecordError: If this release can't use the configuration.
     """
     if not content:
         return None
     return documents.configuration(document=_decompress(content))
 
 
-def _encode_endpoints(read: EndpointsUpdate) -> dict[str, Any]:
+def _encode_endpoints(update: EndpointsUpdate) -> dict[str, Any]:
     return {
-        "revision": read.revision,
-        "whole": read.is_snapshot,
+        "revision": update.revision,
+        "whole": update.is_snapshot,
         "entries": [
             [entry.name, entry.revision, entry.document.decode()]
-            for entry in read.entries
+            for entry in update.entries
         ],
-        "removed": read.removed,
+        "removed": update.removed,
     }
 
 
 def decode_snapshot(
     *, content: bytes, documents: DocumentDecoder, unusable: UnusableEntries
 ) -> Snapshot:
-    """Turn a document back into what it holds.
+    """Decode a snapshot document.
 
     Args:
-        content: The document.
+        content: The compressed document.
         documents: Decodes endpoints' entries.
-        unusable: Is told of entries that can't be used here.
+        unusable: Records entries that this release can't use.
 
     Raises:
-        ControlError: If it is no snapshot.
+        ControlError: If the document is no snapshot.
     """
     try:
         fields = orjson.loads(_decompress(content))
         endpoints, uses = fields["endpoints"], fields["uses"]
-        names = decode_endpoints(
+        endpoint_ids = decode_endpoints(
             names=[name for _, name in uses], incarnations=fields.get("starts", ())
         )
         return Snapshot(
             endpoints=(
                 _decode_endpoints(endpoints, documents, unusable) if endpoints else None
             ),
-            uses=tuple((int(part), names[name]) for part, name in uses),
+            uses=tuple((int(part), endpoint_ids[name]) for part, name in uses),
         )
     except (
         orjson.JSONDecodeError,
@@ -181,13 +181,13 @@
         TypeError,
         ValueError,
     ) as error:
-        raise ControlError(f"a document that is no snapshot: {error!r}") from error
+        raise ControlError(f"document is not a snapshot: {error!r}") from error
 
 
 def _decode_endpoints(
     fields: dict[str, Any], documents: DocumentDecoder, unusable: UnusableEntries
 ) -> EndpointsUpdate:
-    """Decode entries; one that can't be used here is the same as none."""
+    """Decode entries; an entry that this release can't use counts as removed."""
     removed = {
         EndpointName(name): Revision(int(revision))
         for name, revision in fields["removed"].items()
@@ -213,18 +213,16 @@
 
 
 def _decompress(content: bytes) -> bytes:
-    """Undo the compression.
+    """Decompress a document.
 
     Raises:
-        ControlError: If the content is not compressed, or far too large.
+        ControlError: If the content is not compressed, or is too large.
     """
-    expander = zlib.decompressobj()
+    decompressor = zlib.decompressobj()
     try:
-        document = expander.decompress(content, MAX_DOCUMENT_BYTES)
+        document = decompressor.decompress(content, MAX_DOCUMENT_BYTES)
     except zlib.error as error:
-        raise ControlError(f"a document that can't be expanded: {error}") from error
-    if not expander.eof:
-        raise ControlError(
-            f"a document that is cut off, or over {MAX_DOCUMENT_BYTES} bytes"
-        )
+        raise ControlError(f"document can't be decompressed: {error}") from error
+    if not decompressor.eof:
+        raise ControlError(f"document is cut off, or over {MAX_DOCUMENT_BYTES} bytes")
     return document
--- a/dotterelpaddle/peers/summary.py
+++ b/dotterelpaddle/peers/summary.py
@@ -1,8 +1,8 @@
-"""What other routers vouch for, which spares calls to the platform.
+"""Summary of the peers' reports, which saves calls to the platform.
 
-Each report says how long ago its sender heard from the platform itself, and what
-it knows since. Where that is what this router knows too, it is as good as a call
-of its own; where it is not, a call of its own is due at once.
+Each report holds the age of its sender's platform data and a digest of that data. If
+this router has the same data, the report confirms it as a platform call would; if the
+data differs, this router calls the platform at once.
 """
 
 from __future__ import annotations
@@ -24,9 +24,9 @@
     """Implements `dotterelpaddle.forwarding.interface.Vouching`.
 
     Args:
-        view: What this router acts on.
+        view: Configuration and endpoints in force.
         directory: The other routers.
-        shares: Tells whether this router relies on aggregators.
+        shares: Tells whether the fleet has aggregators.
         clock: Monotonic clock.
     """
 
@@ -45,11 +45,12 @@
 
     @property
     def is_platform_reader(self) -> bool:
-        """Whether this router reads from the platform for those that it hears.
+        """Whether this router reads the platform on behalf of its peers.
 
-        It is the first one by rank that reaches the platform: routers rely on what the
-        others vouch for until it is old, and would all hear news late. Where two take
-        that part for a moment, or none, only calls are lost.
+        The platform reader is the first router by rank that reaches the platform.
+        Without one, every router would rely on its peers' reports until they are old,
+        and all would receive changes late. A moment with two readers or none costs
+        only calls.
         """
         rank = self._directory.rank
         own = rank(router=self._directory.own.router)
@@ -60,15 +61,15 @@
 
     @property
     def is_large_fleet(self) -> bool:
-        """Whether the fleet is so large that a few routers work for the others."""
-        told = (peer.report.routers for peer in self._directory.alive)
-        return self._shares.has_aggregators or max(told, default=0) > MAX_MESH_ROUTERS
+        """Whether the fleet is too large for a mesh, so that it has aggregators."""
+        counts = (peer.report.routers for peer in self._directory.alive)
+        return self._shares.has_aggregators or max(counts, default=0) > MAX_MESH_ROUTERS
 
     @property
     def is_domain_owner(self) -> bool | None:
-        """Whether this router decides for its failure domain.
+        """Whether this router owns the shards of its failure domain.
 
-        None where nobody decides for others, or that is not known yet.
+        None if the fleet has no owners, or this router doesn't know the owner yet.
         """
         own, owners = self._directory.own, self._directory.owners()
         owner = owners.get(own.failure_domain)
@@ -76,23 +77,24 @@
 
     @property
     def receives_configurations(self) -> bool:
-        """Whether others pass configurations on to this router in good time.
+        """Whether aggregators forward configurations to this router in time.
 
-        Aggregators wait for them at the platform, each for itself.
+        Each aggregator itself waits for new configurations at the platform.
         """
         relying = self._shares.has_aggregators and not self._shares.is_aggregator
         return relying and bool(self._directory.alive)
 
     @property
     def receives_endpoints(self) -> bool:
-        """Whether others pass endpoints on to this router in good time."""
+        """Whether peers forward endpoints to this router in time."""
         return self._shares.has_aggregators and not self.is_platform_reader
 
     @property
     def configuration_age(self) -> float:
-        """Seconds since one that has the same version heard from the platform.
+        """Seconds since a peer with the same configuration heard from the platform.
 
-        A router that tells nothing of evacuations does not vouch for them either.
+        A report without evacuations, of an earlier release, does not count: it can't
+        confirm them. Infinite if no peer confirms the configuration.
         """
         return self._lowest_age(
             (peer, peer.report.configuration_age)
@@ -103,7 +105,7 @@
 
     @property
     def endpoints_age(self) -> float:
-        """Seconds since one that knows the same endpoints heard from the platform."""
+        """Seconds since a peer with the same endpoints heard from the platform."""
         return self._lowest_age(
             (peer, peer.report.endpoints_age)
             for peer in self._directory.alive
@@ -112,7 +114,7 @@
 
     @property
     def peer_ahead(self) -> Peer | None:
-        """The router with the latest endpoints, if they differ from what is known."""
+        """The peer with the latest endpoints, if they are newer than this router's."""
         revision = self._view.endpoints_revision
         ahead = [
             peer
@@ -124,11 +126,11 @@
 
     @property
     def endpoints_outdated(self) -> bool:
-        """Whether another router knows other endpoints, and later ones."""
+        """Whether a peer has newer endpoints than this router."""
         return self.peer_ahead is not None
 
     def _lowest_age(self, reported: Iterable[tuple[Peer, float]]) -> float:
-        """Return the least of ages that were told some time ago."""
+        """Return the lowest of the reported ages, plus the time since each report."""
         now = self._clock()
         ages = (age + now - peer.received_at for peer, age in reported)
         return min(ages, default=float("inf"))
