--- a/dotterelpaddle/peers/directory.py
+++ b/dotterelpaddle/peers/directory.py
@@ -1,4 +1,4 @@
-"""Which other routers there are: those that this one hears, and those it is told of."""
+"""Tracks the routers that report to this one, and those that peers name."""
 
 from __future__ import annotations
 
@@ -24,39 +24,39 @@
 log = get_logger(name=__name__)
 
 PEER_TIMEOUT_SECONDS = 1.2
-"""Seconds without a report after which a router counts as silent."""
+"""Time without a report after which a router no longer counts as alive."""
 
 RECENT_REPORT_SECONDS = 0.7
-"""Seconds without a report, three of them, after which a router may be cut off."""
+"""Time without a report, three missed ones, after which a router may be cut off."""
 
 PEER_EXPIRY_SECONDS = 30.0
-"""Seconds without a report after which an address is not tried any more."""
+"""Time without a report after which this router forgets a peer and its address."""
 
 RETRY_SECONDS = 1.0
-"""Seconds between reports to addresses that do not answer."""
+"""Time between later reports to an address that does not answer."""
 
 FIRST_RETRY_SECONDS = 0.3
-"""Seconds until the second report to such an address: hosts that are started together
-are so within this time, and the first report may have come before its recipient."""
+"""Time between the first two reports to an address that does not answer. Hosts that
+start together do so within this time; a recipient may start after the first report."""
 
 OWNER_EXPIRY_SECONDS = 2.0
-"""Seconds that a router is believed to own the shards of a failure domain without
-being named again, ten reports: aggregators may change meanwhile."""
+"""Time, ten reports, for which a router counts as owner of a failure domain's shards
+after a report last named it: the aggregators may change in between."""
 
 LATE_OWNER_QUORUM = 0.5
-"""Share of the routers of a failure domain above which an owner that they find silent
-is late for all: lost packets make it look silent to a few, a busy host to most."""
+"""Fraction of a failure domain's routers above which an owner silent to them counts as
+late. Lost packets make an owner silent to a few routers, a busy host to most."""
 
 LATE_OWNER_COOLDOWN_SECONDS = 30.0
-"""Seconds for which an owner that was late for all is not named again. Nobody asks it
-meanwhile, so that nobody can tell whether its host is still busy."""
+"""Time for which aggregators don't elect a late owner again. No router asks it in the
+meantime, so that none can tell whether its host is still busy."""
 
 MAX_CACHED_DIGESTS = 4096
-"""Routers whose names' hashes are kept, 0.3 MB."""
+"""Number of router ids whose hashes stay cached, 0.3 MB."""
 
 AGGREGATORS_PER_DOMAIN = 2
-"""Routers of a failure domain that aggregate for the others of it; while one of them
-has just ended, the other one goes on."""
+"""Number of aggregators in a failure domain; if one of them ends, the other one serves
+the domain until a new one takes over."""
 
 
 @dataclass(kw_only=True, slots=True)
@@ -64,10 +64,10 @@
     """Another router.
 
     Attributes:
-        info: How to reach it.
+        info: Its address and link.
         report: Its last report.
-        received_at: When that came, seconds on the monotonic clock.
-        alive: Whether it was heard of lately.
+        received_at: When that report arrived, seconds on the monotonic clock.
+        alive: Whether its last report is recent enough.
     """
 
     info: PeerInfo
@@ -77,13 +77,13 @@
 
     @property
     def address(self) -> Address:
-        """Where it exchanges reports."""
+        """Address for reports."""
         return self.info.address
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class _NamedPeer:
-    """A router that another one named."""
+    """A router that a report named, and when it did on the monotonic clock."""
 
     info: PeerInfo
     named_at: float
@@ -91,28 +91,28 @@
 
 @dataclass(kw_only=True, slots=True)
 class _Attempts:
-    """Reports to an address that has not answered.
+    """Attempts to reach an address that has not answered.
 
     Attributes:
-        sent_at: When the last one went out, seconds on the monotonic clock.
-        backoff: Seconds until the next one.
+        sent_at: Time of the last attempt, seconds on the monotonic clock.
+        backoff: Seconds between the last attempt and the next one.
     """
 
     sent_at: float = 0.0
     backoff: float = 0.0
 
     def record(self, *, at: float) -> None:
-        """Note one more."""
+        """Record an attempt."""
         self.sent_at = at
         self.backoff = RETRY_SECONDS if self.backoff else FIRST_RETRY_SECONDS
 
 
 class PeerDirectory:
-    """The other routers.
+    """Tracks the other routers, the aggregators and the owners.
 
     Args:
-        own: How others reach this router.
-        seeds: Addresses of some routers, which may be out of date.
+        own: Address and link of this router.
+        seeds: Addresses of some routers; they may be out of date.
         clock: Monotonic clock.
     """
 
@@ -137,71 +137,67 @@
 
     @property
     def own(self) -> PeerInfo:
-        """How others reach this router."""
+        """Address and link of this router."""
         return self._own
 
     @property
     def alive(self) -> tuple[Peer, ...]:
-        """Routers that are heard."""
+        """Routers with a recent report."""
         return tuple(peer for peer in self._peers.values() if peer.alive)
 
     @property
     def router_count(self) -> int:
-        """Routers known of within the last half minute, this one included."""
+        """Number of routers known within the last half minute, this one included."""
         return 1 + len(self._peers.keys() | self._named.keys())
 
     def announce_leaving(self) -> None:
-        """Let others take over what this router does for them, while it still does."""
+        """Announce the stop, so that others take over while this router still runs."""
         self._leaving = True
 
     def recently_active(self) -> tuple[Peer, ...]:
-        """Routers of which a report has just come."""
+        """Routers whose last report arrived within `RECENT_REPORT_SECONDS`."""
         oldest = self._clock() - RECENT_REPORT_SECONDS
         return tuple(peer for peer in self._peers.values() if peer.received_at > oldest)
 
     def reachable_domains(self) -> dict[FailureDomain, bool]:
-        """Tell by failure domain whether any router of it has just been heard.
+        """Return for each failure domain whether one of its routers just reported.
 
-        The aggregators of this router say which other domains they hear.
+        The aggregators list the other domains whose reports they receive.
         """
-        heard: set[FailureDomain] = set()
+        live: set[FailureDomain] = set()
         for peer in self.recently_active():
-            heard.add(peer.report.failure_domain)
+            live.add(peer.report.failure_domain)
             if peer.report.share.scope is TotalsScope.OTHERS:
-                heard.update(peer.report.domains)
+                live.update(peer.report.domains)
         return {
-            name.failure_domain: name.failure_domain in heard
-            for name in self._known_peers()
+            info.failure_domain: info.failure_domain in live for info in self._known()
         }
 
     def rank(self, *, router: RouterId) -> Rank:
-        """Order in which routers work for others: those with the best links first.
+        """Rank of a router as an aggregator, owner or reader; best links come first.
 
-        All routers put those that they know into the same order.
+        All routers compute the same order.
         """
         return _rank(self._peer_info(router))
 
     def aggregators(self, *, failure_domain: FailureDomain) -> tuple[PeerInfo, ...]:
-        """The routers of a failure domain that aggregate for the others of it.
+        """The aggregators of a failure domain, the best ranked ones first.
 
-        Those that were asked to, and have been silent since, are left out, and those
-        that are stopping while there are others.
+        It excludes unresponsive routers, and stopping ones unless all are stopping.
         """
-        names = [
-            name
-            for name in self._known_peers()
-            if name.failure_domain == failure_domain
+        members = [
+            info for info in self._known() if info.failure_domain == failure_domain
         ]
         if failure_domain == self._own.failure_domain:
-            names.append(self._own)
-        answering = [name for name in names if not self._is_unresponsive(name.router)]
-        staying = [name for name in answering if not self._is_leaving(name.router)]
-        return tuple(sorted(staying or answering, key=_rank)[:AGGREGATORS_PER_DOMAIN])
+            members.append(self._own)
+        responsive = [info for info in members if not self._has_timed_out(info.router)]
+        staying = [info for info in responsive if not self._is_leaving(info.router)]
+        return tuple(sorted(staying or responsive, key=_rank)[:AGGREGATORS_PER_DOMAIN])
 
     def owners(self) -> dict[FailureDomain, PeerInfo]:
-        """Which router counts what is in flight in each failure domain.
+        """The owner of each failure domain, which counts the requests in flight there.
 
-        Its aggregators name it; nobody does in a small fleet.
+        The aggregators of the domain elect it; a small fleet has no owners.
         """
         oldest = self._clock() - OWNER_EXPIRY_SECONDS
         return {
@@ -211,60 +207,55 @@
         }
 
     def elect_owner(self) -> None:
-        """Name the owner of the own failure domain, for those that aggregate in it.
+        """Elect the owner of the own failure domain; only its aggregators call this.
 
-        It is the first of the routers that don't aggregate: both aggregators hear all
-        of them, so that both name the same one, and the work is spread. One that is
-        stopping is followed by the next while it still answers, and so is one that
-        answers most of them late.
+        The owner is the best ranked router that is no aggregator, to spread the work.
+        Both aggregators receive the reports of all, and so elect the same router. The
+        next one replaces an owner that answers most late, or is stopping, in advance.
         """
         domain = self._own.failure_domain
         aggregators = self.aggregators(failure_domain=domain)
-        near = [peer for peer in self.alive if peer.info.failure_domain == domain]
-        self._record_late_owner(domain_peers=near)
+        peers = [peer for peer in self.alive if peer.info.failure_domain == domain]
+        self._record_late_owner(peers=peers)
         members = [
             peer.info
-            for peer in near
+            for peer in peers
             if peer.info not in aggregators and not peer.report.leaving
         ]
-        in_time = [name for name in members if name.router not in self._late_owners]
+        in_time = [info for info in members if info.router not in self._late_owners]
         self._record_owner(min(in_time or members, key=_rank, default=aggregators[0]))
 
-    def _record_late_owner(self, *, domain_peers: Sequence[Peer]) -> None:
-        """Note the owner as late if most routers of its failure domain find it so."""
+    def _record_late_owner(self, *, peers: Sequence[Peer]) -> None:
+        """Record the owner as late if most routers of its failure domain report it."""
         now = self._clock()
         self._late_owners = {
-            router: at
-            for router, at in self._late_owners.items()
-            if now - at <= LATE_OWNER_COOLDOWN_SECONDS
+            router: late_at
+            for router, late_at in self._late_owners.items()
+            if now - late_at <= LATE_OWNER_COOLDOWN_SECONDS
         }
         owner = self._owners.get(self._own.failure_domain)
         if owner is None:
             return
         router = owner.info.router
-        finding = sum(router in peer.report.silent_owners for peer in domain_peers)
-        if router not in self._late_owners and finding > LATE_OWNER_QUORUM * len(
-            domain_peers
-        ):
+        count = sum(router in peer.report.silent_owners for peer in peers)
+        if router not in self._late_owners and count > LATE_OWNER_QUORUM * len(peers):
             self._late_owners[router] = now
-            log.warning(
-                "owner_late", router=router, found_by=finding, routers=len(domain_peers)
-            )
+            log.warning("owner_late", router=router, found_by=count, routers=len(peers))
 
     def expect_reports(self, *, routers: frozenset[RouterId]) -> None:
-        """Note which routers are expected to report from now on."""
+        """Set the routers that have to report from now on."""
         now = self._clock()
         for router in tuple(self._expected):
-            if router not in routers and not self._is_unresponsive(router):
+            if router not in routers and not self._has_timed_out(router):
                 del self._expected[router]
         for router in routers:
             self._expected.setdefault(router, now)
 
     def receive(self, *, report: PeerReport, address: Address) -> bool:
-        """Take in a report.
+        """Process a report.
 
         Returns:
-            Whether it is news; an older one of the same process is not.
+            Whether the report is newer than the last one of the same process.
         """
         now = self._clock()
         known = self._peers.get(report.router)
@@ -282,44 +273,42 @@
             report=report,
             received_at=now,
         )
-        for name in report.peers:
-            if name.router != self._own.router:
-                self._named[name.router] = _NamedPeer(info=name, named_at=now)
-        for name in report.owners:
-            self._record_owner(name)
+        for info in report.peers:
+            if info.router != self._own.router:
+                self._named[info.router] = _NamedPeer(info=info, named_at=now)
+        for info in report.owners:
+            self._record_owner(info)
         return True
 
     def knows_process(self, *, report: PeerReport) -> bool:
-        """Tell whether the process that sent a report was heard of before."""
+        """Return whether the sender's last report came from the same process."""
         known = self._peers.get(report.router)
         return known is not None and known.report.incarnation == report.incarnation
 
     def unreached_targets(self) -> list[Address]:
-        """Addresses of routers that are not heard and are due for a report now."""
-        quiet = {name.address for name in self._known_peers()} | self._seeds
-        return self._due_targets(quiet - {peer.address for peer in self.alive})
+        """Return addresses without a router that is alive, if an attempt is due."""
+        known = {info.address for info in self._known()} | self._seeds
+        return self._due_targets(known - {peer.address for peer in self.alive})
 
     def unresponsive_targets(self) -> list[Address]:
-        """Addresses that do not answer and are due for a report now.
+        """Return addresses of unresponsive routers, if an attempt is due.
 
-        Without any router that answers the seeds are tried.
+        The seeds are included if no router is alive.
         """
-        silent = {
-            name.address
-            for name in self._known_peers()
-            if self._is_unresponsive(name.router)
+        targets = {
+            info.address for info in self._known() if self._has_timed_out(info.router)
         }
-        return self._due_targets(silent if self.alive else silent | self._seeds)
+        return self._due_targets(targets if self.alive else targets | self._seeds)
 
     def update_liveness(self) -> None:
-        """Note who has fallen silent, and forget those that long have."""
+        """Mark routers without a recent report as lost, and forget expired ones."""
         now = self._clock()
         for router, peer in tuple(self._peers.items()):
-            silent = now - peer.received_at
-            if peer.alive and silent > PEER_TIMEOUT_SECONDS:
+            silent_for = now - peer.received_at
+            if peer.alive and silent_for > PEER_TIMEOUT_SECONDS:
                 peer.alive = False
-                log.warning("peer_lost", router=router, silent_for=round(silent, 3))
-            if silent > PEER_EXPIRY_SECONDS:
+                log.warning("peer_lost", router=router, silent_for=round(silent_for, 3))
+            if silent_for > PEER_EXPIRY_SECONDS:
                 del self._peers[router]
                 self._named.pop(router, None)
                 self._attempts.pop(peer.address, None)
@@ -329,17 +318,17 @@
         for router in self._expected.keys() - self._peers.keys() - self._named.keys():
             del self._expected[router]
 
-    def _record_owner(self, name: PeerInfo) -> None:
-        known = self._owners.get(name.failure_domain)
-        if known is None or known.info != name:
+    def _record_owner(self, info: PeerInfo) -> None:
+        known = self._owners.get(info.failure_domain)
+        if known is None or known.info != info:
             log.info(
                 "owner_named",
-                failure_domain=name.failure_domain,
-                router=name.router,
+                failure_domain=info.failure_domain,
+                router=info.router,
                 before=known.info.router if known is not None else "",
             )
-        self._owners[name.failure_domain] = _NamedPeer(
-            info=name, named_at=self._clock()
+        self._owners[info.failure_domain] = _NamedPeer(
+            info=info, named_at=self._clock()
         )
 
     def _due_targets(self, addresses: Iterable[Address]) -> list[Address]:
@@ -349,14 +338,14 @@
         return due
 
     def _is_due(self, address: Address) -> bool:
-        tries = self._attempts.get(address)
-        return tries is None or self._clock() - tries.sent_at >= tries.backoff
+        attempt = self._attempts.get(address)
+        return attempt is None or self._clock() - attempt.sent_at >= attempt.backoff
 
-    def _known_peers(self) -> list[PeerInfo]:
-        """All other routers that are known of."""
+    def _known(self) -> list[PeerInfo]:
+        """All other routers; their own reports take precedence over named ones."""
         named = {router: each.info for router, each in self._named.items()}
-        heard = {router: peer.info for router, peer in self._peers.items()}
-        return list({**named, **heard}.values())
+        reporting = {router: peer.info for router, peer in self._peers.items()}
+        return list({**named, **reporting}.values())
 
     def _peer_info(self, router: RouterId) -> PeerInfo:
         peer = self._peers.get(router)
@@ -371,40 +360,40 @@
         peer = self._peers.get(router)
         return peer is not None and peer.alive and peer.report.leaving
 
-    def _is_unresponsive(self, router: RouterId) -> bool:
-        """Tell whether a router has not reported since it was asked to."""
-        asked_at = self._expected.get(router)
-        if asked_at is None:
+    def _has_timed_out(self, router: RouterId) -> bool:
+        """Return whether a router that has to report has timed out."""
+        expected_at = self._expected.get(router)
+        if expected_at is None:
             return False
         peer = self._peers.get(router)
-        heard_at = peer.received_at if peer is not None else asked_at
-        return self._clock() - max(asked_at, heard_at) > PEER_TIMEOUT_SECONDS
+        received_at = peer.received_at if peer is not None else expected_at
+        return self._clock() - max(expected_at, received_at) > PEER_TIMEOUT_SECONDS
 
 
-def _rank(name: PeerInfo) -> Rank:
-    return -name.link, _digest(name.router), name.router
+def _rank(info: PeerInfo) -> Rank:
+    return -info.link, _digest(info.router), info.router
 
 
 @lru_cache(maxsize=MAX_CACHED_DIGESTS)
 def _digest(router: RouterId) -> int:
-    """Hash a name; each router is ranked many times a second."""
+    """Hash a router id, cached since each rank is computed many times a second."""
     return digest(text=router)
 
 
 def _sender_info(
     *, report: PeerReport, address: Address, known: Peer | None
 ) -> PeerInfo:
-    """Return how to reach the sender of a report, the same as before if it is."""
-    name = PeerInfo(
+    """Return the sender's address and link; an equal known object is reused."""
+    info = PeerInfo(
         router=report.router,
         failure_domain=report.failure_domain,
         address=address,
         link=report.link,
     )
-    return known.info if known is not None and known.info == name else name
+    return known.info if known is not None and known.info == info else info
 
 
 def _is_repeated(*, known: PeerReport, report: PeerReport) -> bool:
-    """Tell whether a report is no later than the last one of the same process."""
-    same = known.incarnation == report.incarnation
-    return same and report.sequence <= known.sequence
+    """Return whether a report is no newer than the last one of the same process."""
+    same_process = known.incarnation == report.incarnation
+    return same_process and report.sequence <= known.sequence
--- a/dotterelpaddle/peers/exchange.py
+++ b/dotterelpaddle/peers/exchange.py
@@ -1,4 +1,4 @@
-"""Sends and receives the reports of routers."""
+"""Exchanges reports with the other routers."""
 
 from __future__ import annotations
 
@@ -48,15 +48,15 @@
 log = get_logger(name=__name__)
 
 REPORT_INTERVAL_SECONDS = 0.2
-"""Seconds between reports: at a few requests a second for each router, loads
-are off by a handful of requests over all endpoints."""
+"""Time between reports: at a few requests a second for each router, the known loads are
+off by a handful of requests over all endpoints."""
 
 PEER_LIST_INTERVAL_ROUNDS = 8
-"""Rounds of reports of which one names the routers that its sender hears. With nine
-routers the names are half of a report, and new routers are rare."""
+"""One in this many rounds of reports lists the sender's peers. With nine routers the
+list is half of a report, and new routers are rare."""
 
 MAX_FIXED_PEERS = 4
-"""Routers with the best ranks that are named each time; the others take turns."""
+"""Best ranked routers that every list of peers contains; the others take turns."""
 
 ORIGINS_BY_SCOPE = {
     TotalsScope.ROUTER: (UseOrigin.LOCAL,),
@@ -67,28 +67,28 @@
         UseOrigin.OTHER_DOMAIN,
     ),
 }
-"""Whose uses of parts go with a report: those that its recipient hears of nowhere
-else."""
+"""Origins of the uses of prompt parts in a report: those that its recipient receives
+from no other router."""
 
 UNKNOWN_REVISION = Revision(-1)
-"""Revision of a router that knows no endpoints yet."""
+"""Revision in the report of a router that knows no endpoints yet."""
 
 
 class PeerExchange:
-    """Keeps routers informed of each other.
+    """Sends reports to other routers and processes received ones.
 
     Args:
-        view: What this router acts on.
-        loads: Requests in flight.
-        repeats: What repeats cost.
-        shares: What other routers told of theirs.
-        caches: Where parts of prompts are.
-        crashes: Under which requests endpoints ended.
+        view: Configuration and endpoints in force.
+        loads: Requests in flight of this router.
+        repeats: Retries of this router.
+        shares: Totals that other routers sent.
+        caches: Prompt parts that endpoints have cached.
+        crashes: Requests during which endpoints crashed.
         directory: The other routers.
-        plan: Who is told what.
-        peer_summary: What other routers vouch for.
-        follower: Knows how long ago the platform was heard from.
-        owners: Takes in messages between routers and owners.
+        plan: Chooses the recipients of reports.
+        peer_summary: Tells the age of platform data that peers confirm.
+        follower: Tells the age of this router's platform data.
+        owners: Processes messages between routers and owners.
         generator: Source of jitter.
     """
 
@@ -130,37 +130,35 @@
         """Exchange reports until cancelled.
 
         Args:
-            socket: The socket for them.
-            control: Where this router hands out what it knows.
+            socket: Socket for reports.
+            control: Address at which this router serves snapshots.
         """
         async with anyio.create_task_group() as tasks:
             tasks.start_soon(self._receive, socket, control)
             tasks.start_soon(self._send_regularly, socket, control)
 
-    async def _send_regularly(
-        self, datagrams: DatagramSocket, control: Address
-    ) -> None:
+    async def _send_regularly(self, socket: DatagramSocket, control: Address) -> None:
         try:
             while True:
-                await self._send_reports(datagrams, control)
+                await self._send_reports(socket, control)
                 await anyio.sleep(
                     REPORT_INTERVAL_SECONDS * self._generator.uniform(0.9, 1.1)
                 )
         finally:
-            # What was seen since the last report would end with this router.
+            # Without a final report, observations since the last one would be lost.
             with anyio.CancelScope(shield=True):
-                await self._send_reports(datagrams, control)
+                await self._send_reports(socket, control)
 
-    async def _send_reports(self, datagrams: DatagramSocket, control: Address) -> None:
+    async def _send_reports(self, socket: DatagramSocket, control: Address) -> None:
         self._rounds += 1
         recipients = self._plan.recipients()
-        names_due = (
+        list_due = (
             self._rounds <= PEER_LIST_INTERVAL_ROUNDS
             or self._rounds % PEER_LIST_INTERVAL_ROUNDS == 1
         )
         base = replace(
             self._build_report(
-                control=control, names=self._peers_to_list() if names_due else ()
+                control=control, peers=self._peers_to_list() if list_due else ()
             ),
             crashes=tuple(self._crashes.take_due_notes()),
             leaving_endpoints=self._view.leaving.take_due_notices(),
@@ -168,17 +166,17 @@
         uses = {
             origin: self._caches.take_pending(origin=origin) for origin in UseOrigin
         }
-        written: dict[tuple[TotalsScope, ReplyRequest], bytes] = {}
+        encoded: dict[tuple[TotalsScope, ReplyRequest], bytes] = {}
         for recipient in recipients:
-            # Only an aggregate for one router differs from recipient to recipient.
+            # Recipients of one kind share a report, except for totals of all others.
             kind = (recipient.scope, recipient.reply_request)
-            content = written.get(kind)
+            content = encoded.get(kind)
             if content is None:
                 report = self._report_for(report=base, recipient=recipient, uses=uses)
                 content = encode_report(report=report)
             if recipient.scope is not TotalsScope.OTHERS:
-                written[kind] = content
-            await datagrams.send(content, recipient.address)
+                encoded[kind] = content
+            await socket.send(content, recipient.address)
 
     def _report_for(
         self,
@@ -187,7 +185,7 @@
         recipient: Recipient,
         uses: Mapping[UseOrigin, list[PartUse]],
     ) -> PeerReport:
-        """Fill in what differs from recipient to recipient."""
+        """Fill in the fields that depend on the recipient."""
         return replace(
             report,
             ask=recipient.reply_request,
@@ -201,12 +199,12 @@
         )
 
     def _build_report(
-        self, *, control: Address, names: tuple[PeerInfo, ...]
+        self, *, control: Address, peers: tuple[PeerInfo, ...]
     ) -> PeerReport:
-        """Make a report of what this router knows and does itself."""
+        """Build a report of this router's own state."""
         self._sequence += 1
         revision = self._view.endpoints_revision
-        follower, word = self._follower, self._peer_summary
+        follower, summary = self._follower, self._peer_summary
         return PeerReport(
             router=self._own.router,
             failure_domain=self._own.failure_domain,
@@ -216,8 +214,10 @@
             control=control,
             version=self._view.version,
             revision=UNKNOWN_REVISION if revision is None else revision,
-            configuration_age=min(follower.configuration_age, word.configuration_age),
-            endpoints_age=min(follower.endpoints_age, word.endpoints_age),
+            configuration_age=min(
+                follower.configuration_age, summary.configuration_age
+            ),
+            endpoints_age=min(follower.endpoints_age, summary.endpoints_age),
             endpoints_tag=self._view.endpoints_tag,
             share=RequestTotals(
                 loads=self._loads.own,
@@ -229,7 +229,7 @@
                 {peer.info.failure_domain for peer in self._directory.recently_active()}
             ),
             parts=self._caches.part_count if self._caches.is_populated else 0,
-            peers=names,
+            peers=peers,
             leaving=self._directory.leaving,
             silent_owners=self._owners.unresponsive,
             platform_lost=self._follower.failing,
@@ -245,7 +245,7 @@
         return own
 
     def _owners_for(self, *, recipient: Recipient) -> tuple[PeerInfo, ...]:
-        """Who owns the shards of the own failure domain, or of all."""
+        """Return the owner of the own failure domain, or the owners of all."""
         owners = self._directory.owners()
         match recipient.scope:
             case TotalsScope.DOMAIN:
@@ -256,21 +256,21 @@
         return ()
 
     def _peers_to_list(self) -> tuple[PeerInfo, ...]:
-        """Name routers that are heard: the first of all ranks, and others in turn."""
+        """Return peers to list: always the best ranked ones, the others in turn."""
         alive = sorted(
             (peer.info for peer in self._directory.alive),
-            key=lambda name: self._directory.rank(router=name.router),
+            key=lambda info: self._directory.rank(router=info.router),
         )
-        first, rest = alive[:MAX_FIXED_PEERS], alive[MAX_FIXED_PEERS:]
+        fixed, rest = alive[:MAX_FIXED_PEERS], alive[MAX_FIXED_PEERS:]
         room = MAX_LISTED_PEERS - MAX_FIXED_PEERS
         if len(rest) > room:
-            turn = (self._rounds // PEER_LIST_INTERVAL_ROUNDS * room) % len(rest)
-            rest = (rest + rest)[turn : turn + room]
-        return (*first, *rest)
+            offset = (self._rounds // PEER_LIST_INTERVAL_ROUNDS * room) % len(rest)
+            rest = (rest + rest)[offset : offset + room]
+        return (*fixed, *rest)
 
-    async def _receive(self, datagrams: DatagramSocket, control: Address) -> None:
+    async def _receive(self, socket: DatagramSocket, control: Address) -> None:
         while True:
-            datagram, address = await datagrams.receive()
+            datagram, address = await socket.receive()
             if datagram.startswith(DATAGRAM_PREFIX):
                 await self._owners.receive(datagram=datagram, address=address)
                 continue
@@ -288,20 +288,20 @@
                 )
                 continue
             if self._apply_report(report=report, address=address):
-                await self._send_answer(datagrams, control, address)
+                await self._send_answer(socket, control, address)
 
     async def _send_answer(
-        self, datagrams: DatagramSocket, control: Address, address: Address
+        self, socket: DatagramSocket, control: Address, address: Address
     ) -> None:
-        """Tell a router at once who there is."""
-        answer = self._build_report(control=control, names=self._peers_to_list())
-        await datagrams.send(encode_report(report=answer), address)
+        """Send a router a report with a list of peers at once."""
+        answer = self._build_report(control=control, peers=self._peers_to_list())
+        await socket.send(encode_report(report=answer), address)
 
     def _apply_report(self, *, report: PeerReport, address: Address) -> bool:
-        """Take in a report.
+        """Process a report.
 
         Returns:
-            Whether its sender waits for an answer, or was not heard of before.
+            Whether its sender requests an answer, or its process is new.
         """
         if report.router == self._own.router:
             return False
@@ -323,7 +323,7 @@
         return not known or report.ask is ReplyRequest.ANSWER
 
     def _origin(self, *, report: PeerReport) -> UseOrigin | None:
-        """Tell for whom a report's uses are news that this router passes on."""
+        """Return the origin for forwarding a report's uses, None to forward nothing."""
         if report.ask is ReplyRequest.AGGREGATE:
             return UseOrigin.SAME_DOMAIN
         if report.share.scope is TotalsScope.DOMAIN:
--- a/dotterelpaddle/peers/messages.py
+++ b/dotterelpaddle/peers/messages.py
@@ -1,4 +1,7 @@
-"""The report that routers send each other a few times a second."""
+"""Wire format of the reports that routers send each other a few times a second.
+
+A report is a JSON array. Later releases append fields; earlier ones ignore them.
+"""
 
 from __future__ import annotations
 
@@ -37,48 +40,48 @@
     from dotterelpaddle.forwarding.use_queue import PartUse
 
 FORMAT_VERSION = 3
-"""Version of the format; reports of another one are dropped and counted."""
+"""Version of the format; the recipient drops and counts reports of other versions."""
 
 INCARNATIONS_INDEX = 19
-"""Place of endpoints' starts; earlier releases end before it and read no further."""
+"""Index of the endpoints' incarnations, the first of the appended fields."""
 
 QUEUED_TOKENS_INDEX = 20
-"""Place of what waits to be read at endpoints, which earlier releases lack as well."""
+"""Index of the queued prompt tokens by endpoint."""
 
 OWNERS_INDEX = 21
-"""Place of the owners of shards, which earlier releases lack as well."""
+"""Index of the owners of shards."""
 
 LEAVING_INDEX = 22
-"""Place of whether the sender is stopping, which earlier releases lack as well."""
+"""Index of the flag that the sender is stopping."""
 
 CRASHES_INDEX = 23
-"""Place of requests under which endpoints ended, which earlier releases lack."""
+"""Index of the crash notes."""
 
 LEAVING_ENDPOINTS_INDEX = 24
-"""Place of endpoints that said that they leave, which earlier releases lack."""
+"""Index of the endpoints that announced in a response that they leave."""
 
 SILENT_OWNERS_INDEX = 25
-"""Place of owners that did not answer in time, which earlier releases lack."""
+"""Index of the owners that did not answer the sender in time."""
 
 PLATFORM_LOST_INDEX = 26
-"""Place of whether the sender reaches the platform, which earlier releases lack."""
+"""Index of the flag that the sender can't reach the platform."""
 
 EVACUATED_INDEX = 27
-"""Place of evacuated failure domains, which earlier releases lack as well."""
+"""Index of the evacuated failure domains."""
 
 MAX_LISTED_PEERS = 16
-"""Routers named in one report, so that it stays in one packet."""
+"""Routers listed in one report, so that it fits into one packet."""
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class PeerInfo:
-    """How to reach a router, and how much it can do for others.
+    """Address and link of a router.
 
     Attributes:
-        router: Its name.
-        failure_domain: Where it is.
-        address: Where it exchanges reports.
-        link: Bandwidth of its host's link, Mbit/s.
+        router: Id of the router.
+        failure_domain: Failure domain of its host.
+        address: Address for reports.
+        link: Bandwidth of its host's link, Mbit/s; it decides the router's rank.
     """
 
     router: RouterId
@@ -89,36 +92,37 @@
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class PeerReport:
-    """What one router knows and does.
+    """State of one router.
 
     Attributes:
-        router: Its name.
-        failure_domain: Where it is.
+        router: Id of the sender.
+        failure_domain: Failure domain of its host.
         link: Bandwidth of its host's link, Mbit/s.
-        incarnation: Number of its process; another one is another process.
-        sequence: Grows with each report of the process.
-        control: Where it hands out what it knows.
+        incarnation: Random number of its process.
+        sequence: Number of the report, increasing within a process.
+        control: Address at which it serves snapshots.
         version: Version of its configuration.
         revision: Revision up to which it knows the endpoints, -1 for none.
-        configuration_age: Seconds since the platform itself told anyone that this is
-            the configuration, infinite if that is not known.
-        endpoints_age: The same of the endpoints.
+        configuration_age: Seconds since the platform confirmed this configuration to
+            any router, infinite if unknown.
+        endpoints_age: Seconds since the platform confirmed these endpoints to any
+            router, infinite if unknown.
         endpoints_tag: Digest of the endpoints that it knows.
-        share: Requests in flight and repeats that it tells of.
-        ask: What it asks in return.
-        routers: Routers that it knows of, itself included.
-        domains: Failure domains whose routers it has just heard itself.
-        uses: Where it sent parts of prompts of late.
-        parts: Parts of prompts that it knows the places of, 0 while it is still
-            learning what was there before it began.
-        peers: Routers that it hears.
-        owners: Routers that count what is in flight, one for a failure domain.
-        leaving: Whether it is stopping, and others should take over what it does.
-        crashes: Under which requests endpoints ended.
-        leaving_endpoints: Endpoints that have said in an answer that they leave.
-        silent_owners: Owners that have just not answered the sender in time.
+        share: Requests in flight and retries, its own or aggregated.
+        ask: Reply that it requests.
+        routers: Number of routers that it knows of, itself included.
+        domains: Failure domains of the routers whose reports it has just received.
+        uses: Prompt parts with the endpoints to which it recently sent them.
+        parts: Number of prompt parts of which it knows a caching endpoint; 0 while it
+            still loads those from before its start.
+        peers: Routers whose reports it receives.
+        owners: Routers that count the requests in flight of a failure domain.
+        leaving: Whether it is stopping, so that others have to take over its roles.
+        crashes: Requests during which endpoints crashed.
+        leaving_endpoints: Endpoints that announced in a response that they leave.
+        silent_owners: Owners that did not answer its last messages in time.
         platform_lost: Whether its own calls to the platform fail.
-        evacuated: Evacuated failure domains, None if it knows nothing of them.
+        evacuated: Evacuated failure domains, None if unknown.
     """
 
     router: RouterId
@@ -149,12 +153,12 @@
 
 
 def encode_report(*, report: PeerReport) -> bytes:
-    """Turn a report into a datagram."""
-    share = report.share
-    told = LatestIncarnations(
+    """Encode a report as a datagram."""
+    totals = report.share
+    incarnations = LatestIncarnations(
         endpoints=(
-            *share.loads,
-            *share.queued_tokens,
+            *totals.loads,
+            *totals.queued_tokens,
             *(endpoint for _, endpoint in report.uses),
         )
     )
@@ -173,16 +177,16 @@
             _milliseconds(report.endpoints_age),
             report.endpoints_tag,
             [
-                share.scope.value,
-                share.routers,
+                totals.scope.value,
+                totals.routers,
                 {
                     name: load
-                    for endpoint, load in share.loads.items()
-                    if (name := told.name(endpoint=endpoint)) is not None
+                    for endpoint, load in totals.loads.items()
+                    if (name := incarnations.name(endpoint=endpoint)) is not None
                 },
                 {
                     service: [counts.requests, counts.retries]
-                    for service, counts in share.retries.items()
+                    for service, counts in totals.retries.items()
                 },
             ],
             report.ask.value,
@@ -191,22 +195,22 @@
             [
                 (part, name)
                 for part, endpoint in report.uses
-                if (name := told.name(endpoint=endpoint)) is not None
+                if (name := incarnations.name(endpoint=endpoint)) is not None
             ],
             report.parts,
             [_peer_fields(peer) for peer in report.peers[:MAX_LISTED_PEERS]],
-            told.encoded,
+            incarnations.encoded,
             {
                 name: tokens
-                for endpoint, tokens in share.queued_tokens.items()
-                if (name := told.name(endpoint=endpoint)) is not None
+                for endpoint, tokens in totals.queued_tokens.items()
+                if (name := incarnations.name(endpoint=endpoint)) is not None
             },
             [_peer_fields(owner) for owner in report.owners],
             report.leaving,
             encode_notes(notes=report.crashes),
             [
-                (note.endpoint, round(1000 * note.age))
-                for note in report.leaving_endpoints
+                (notice.endpoint, round(1000 * notice.age))
+                for notice in report.leaving_endpoints
             ],
             report.silent_owners,
             report.platform_lost,
@@ -218,30 +222,28 @@
 def decode_report(
     *, datagram: bytes, start_of: Callable[[EndpointName], EndpointId] = EndpointId
 ) -> PeerReport:
-    """Turn a datagram back into a report.
+    """Decode a datagram as a report.
 
     Args:
-        datagram: The datagram.
-        start_of: Returns the start of an endpoint that is known here. Routers of
-            earlier releases tell names only: what they have in flight is counted
-            there, which errs on the safe side, but where they say that parts of
-            prompts are cached is not taken over, as that may be of an earlier start.
+        datagram: The received datagram.
+        start_of: Returns the id of an endpoint's current incarnation. Reports of
+            earlier releases hold names only. Their requests in flight count for the
+            current incarnation, which errs on the safe side; their cached prompt parts
+            do not, since those may belong to an earlier incarnation.
 
     Raises:
-        ControlError: If it is no report of this format.
+        ControlError: If the datagram is no report of this format version.
     """
     try:
         fields = orjson.loads(datagram)
         if fields[0] != FORMAT_VERSION:
-            raise ControlError(
-                f"a report of format {fields[0]!r}, not {FORMAT_VERSION}"
-            )
+            raise ControlError(f"report has format {fields[0]!r}, not {FORMAT_VERSION}")
         uses = fields[16]
-        starts = _optional_field(fields, INCARNATIONS_INDEX, ())
-        reading = _optional_field(fields, QUEUED_TOKENS_INDEX, {})
+        incarnations = _optional_field(fields, INCARNATIONS_INDEX, ())
+        queued_tokens = _optional_field(fields, QUEUED_TOKENS_INDEX, {})
         endpoints = decode_endpoints(
-            names=[*fields[12][2], *reading, *(name for _, name in uses)],
-            incarnations=starts,
+            names=[*fields[12][2], *queued_tokens, *(name for _, name in uses)],
+            incarnations=incarnations,
         )
         return PeerReport(
             router=RouterId(str(fields[1])),
@@ -255,10 +257,10 @@
             configuration_age=_seconds(fields[9]),
             endpoints_age=_seconds(fields[10]),
             endpoints_tag=int(fields[11]),
-            share=_share(
+            share=_totals(
                 fields[12],
-                reading,
-                endpoints if starts else _resolve(endpoints, start_of),
+                queued_tokens,
+                endpoints if incarnations else _resolve(endpoints, start_of),
             ),
             ask=ReplyRequest(fields[13]),
             routers=int(fields[14]),
@@ -272,8 +274,8 @@
             leaving=bool(_optional_field(fields, LEAVING_INDEX, False)),
             crashes=decode_notes(fields=_optional_field(fields, CRASHES_INDEX, ())),
             leaving_endpoints=tuple(
-                _leaving_note(note)
-                for note in _optional_field(fields, LEAVING_ENDPOINTS_INDEX, ())
+                _leaving_notice(notice)
+                for notice in _optional_field(fields, LEAVING_ENDPOINTS_INDEX, ())
             ),
             silent_owners=tuple(
                 RouterId(str(router))
@@ -290,37 +292,38 @@
         TypeError,
         ValueError,
     ) as error:
-        raise ControlError(f"a datagram that is no report: {error!r}") from error
+        raise ControlError(f"datagram is not a report: {error!r}") from error
 
 
 def _resolve(
     endpoints: Mapping[str, EndpointId], start_of: Callable[[EndpointName], EndpointId]
 ) -> Mapping[str, EndpointId]:
+    """Return the current incarnations of endpoints in a report without any."""
     return {name: start_of(EndpointName(name)) for name in endpoints}
 
 
-def _share(
-    fields: Any, reading: Mapping[str, int], endpoints: Mapping[str, EndpointId]
+def _totals(
+    fields: Any, queued_tokens: Mapping[str, int], endpoints: Mapping[str, EndpointId]
 ) -> RequestTotals:
-    scope, routers, loads, repeats = fields
+    scope, routers, loads, retries = fields
     return RequestTotals(
         scope=TotalsScope(scope),
         routers=int(routers),
         loads={endpoints[name]: int(load) for name, load in loads.items()},
         queued_tokens={
-            endpoints[name]: int(tokens) for name, tokens in reading.items()
+            endpoints[name]: int(tokens) for name, tokens in queued_tokens.items()
         },
         retries={
             ServiceName(name): RetryCounts(
                 requests=int(counts[0]), retries=int(counts[1])
             )
-            for name, counts in repeats.items()
+            for name, counts in retries.items()
         },
     )
 
 
 def _optional_field(fields: list[Any], index: int, default: Any) -> Any:
-    """Return a field that came with a later release, or what it is without it."""
+    """Return an appended field, or the default for reports of earlier releases."""
     return fields[index] if len(fields) > index else default
 
 
@@ -340,7 +343,7 @@
     )
 
 
-def _leaving_note(fields: Any) -> LeavingNotice:
+def _leaving_notice(fields: Any) -> LeavingNotice:
     endpoint, age = fields
     return LeavingNotice(
         endpoint=EndpointId(str(endpoint)), age=max(0, int(age)) / 1000
