--- a/dotterelpaddle/peers/summary.py
+++ b/dotterelpaddle/peers/summary.py
@@ -91,7 +91,7 @@
 
     @property
     def configuration_age(self) -> float:
-        """Seconds since a peer with the same configuration heard from the platform.
+        """Seconds since a peer with this configuration last read the platform.
 
         A report without evacuations, of an earlier release, does not count: it can't
         confirm them. Infinite if no peer confirms the configuration.
@@ -105,7 +105,7 @@
 
     @property
     def endpoints_age(self) -> float:
-        """Seconds since a peer with the same endpoints heard from the platform."""
+        """Seconds since a peer with these endpoints last read the platform."""
         return self._lowest_age(
             (peer, peer.report.endpoints_age)
             for peer in self._directory.alive
--- a/dotterelpaddle/tests/peers/fleet.py
+++ b/dotterelpaddle/tests/peers/fleet.py
@@ -1,4 +1,4 @@
-"""Routers that exchange reports over a network in memory, by a clock of the test."""
+"""A fleet of routers with an in-memory network and a simulated clock."""
 
 from __future__ import annotations
 
@@ -29,21 +29,21 @@
 
 @dataclass(kw_only=True)
 class Node:
-    """One router."""
+    """One router of the fleet, with its state."""
 
-    name: PeerInfo
+    info: PeerInfo
     directory: PeerDirectory
-    shares: TotalsTracker
+    totals: TotalsTracker
     loads: LoadTracker
-    repeats: RetryBudget
+    retry_budget: RetryBudget
     caches: CacheMap
     plan: ReportPlan
-    word: PeerSummary
+    peer_summary: PeerSummary
     exchange: Any
     sent: int = 0
 
     def load(self, endpoint: str) -> int:
-        """Requests in flight at an endpoint, as far as this router knows."""
+        """Requests in flight at an endpoint, as counted by this router."""
         return self.loads.loads()[EndpointId(endpoint)]
 
 
@@ -52,26 +52,29 @@
     """All routers and the network between them.
 
     Attributes:
-        loss: Share of the datagrams that are lost.
+        loss: Fraction of the datagrams that the network drops.
+        now: Simulated time, s.
         down: Addresses that neither send nor receive.
-        cut: Failure domains that no other one hears.
-        held: Requests in flight.
+        isolated: Failure domains that the network cuts off from the others.
+        in_flight: Datagrams with their sender and recipient address.
+        held_requests: Keeps requests in flight.
+        rng: Source of loss and jitter.
     """
 
     loss: float = 0.0
     now: float = 100.0
     nodes: list[Node] = field(default_factory=list)
     down: set[Address] = field(default_factory=set)
-    cut: set[FailureDomain] = field(default_factory=set)
-    flying: deque[tuple[Node, bytes, Address]] = field(default_factory=deque)
-    held: ExitStack = field(default_factory=ExitStack)
-    dice: random.Random = field(default_factory=lambda: random.Random(5))
+    isolated: set[FailureDomain] = field(default_factory=set)
+    in_flight: deque[tuple[Node, bytes, Address]] = field(default_factory=deque)
+    held_requests: ExitStack = field(default_factory=ExitStack)
+    rng: random.Random = field(default_factory=lambda: random.Random(5))
 
     def clock(self) -> float:
         return self.now
 
     def add(self, number: int, *, domain: str, link: int = 10) -> Node:
-        """Start a router that knows the first three as seeds."""
+        """Add a router to the fleet."""
         address = Address(host=f"10.0.0.{number}", port=1)
         parts = build_router(
             router=RouterId(f"router-{number}"),
@@ -80,48 +83,50 @@
             link=link,
             clock=self.clock,
         )
-        knowledge, exchange = parts.state, parts.exchange
-        exchange._generator = self.dice
+        state, exchange = parts.state, parts.exchange
+        exchange._generator = self.rng
         node = Node(
-            name=knowledge.directory.own,
-            directory=knowledge.directory,
-            shares=knowledge.totals,
-            loads=knowledge.loads,
-            repeats=knowledge.retry_budget,
-            caches=knowledge.caches,
+            info=state.directory.own,
+            directory=state.directory,
+            totals=state.totals,
+            loads=state.loads,
+            retry_budget=state.retry_budget,
+            caches=state.caches,
             plan=exchange._plan,
-            word=exchange._peer_summary,
+            peer_summary=exchange._peer_summary,
             exchange=exchange,
         )
         self.nodes.append(node)
         return node
 
     async def run(self, seconds: float) -> None:
-        """Let all report, again and again."""
+        """Run rounds of reports of all routers for a simulated time, s."""
         until = self.now + seconds
         while self.now < until:
             self.now += REPORT_INTERVAL_SECONDS
             for node in self.nodes:
-                if node.name.address not in self.down:
-                    await node.exchange._report_to_all(self._socket(node), CONTROL)
-                while self.flying:
-                    await self._deliver(*self.flying.popleft())
+                if node.info.address not in self.down:
+                    await node.exchange._send_reports(self._socket(node), CONTROL)
+                while self.in_flight:
+                    await self._deliver(*self.in_flight.popleft())
 
     def _socket(self, node: Node) -> Any:
         async def send(datagram: bytes, target: Address) -> None:
             node.sent += 1
-            self.flying.append((node, datagram, target))
+            self.in_flight.append((node, datagram, target))
 
         return SimpleNamespace(send=send)
 
     async def _deliver(self, sender: Node, datagram: bytes, to: Address) -> None:
-        target = next((n for n in self.nodes if n.name.address == to), None)
-        if target is None or to in self.down or self.dice.random() < self.loss:
+        target = next((node for node in self.nodes if node.info.address == to), None)
+        if target is None or to in self.down or self.rng.random() < self.loss:
             return
-        domains = {sender.name.failure_domain, target.name.failure_domain}
-        if len(domains) == 2 and domains & self.cut:
+        domains = {sender.info.failure_domain, target.info.failure_domain}
+        if len(domains) == 2 and domains & self.isolated:
             return
         report = decode_report(datagram=datagram)
         exchange = target.exchange
-        if exchange._hear(report=report, address=sender.name.address):
-            await exchange._answer(self._socket(target), CONTROL, sender.name.address)
+        if exchange._apply_report(report=report, address=sender.info.address):
+            await exchange._send_answer(
+                self._socket(target), CONTROL, sender.info.address
+            )
--- a/dotterelpaddle/tests/peers/test_cache_discovery.py
+++ b/dotterelpaddle/tests/peers/test_cache_discovery.py
@@ -1,4 +1,4 @@
-"""Who asks engines what they have cached, after all routers stopped at once."""
+"""Queries for the engines' cached parts after all routers stopped at once."""
 
 from __future__ import annotations
 
@@ -30,17 +30,17 @@
 
 PART = 7
 
-LIMIT = 30.0
-"""Seconds after which a wait fails; it takes a tenth of one."""
+TIMEOUT_SECONDS = 30.0
+"""Timeout of a wait, which normally takes 0.1 s."""
 
 
-class World:
+class Harness:
     """One router that has just started, and its engines."""
 
-    def __init__(self, *, engines: int, first: bool) -> None:
+    def __init__(self, *, engines: int, is_platform_reader: bool) -> None:
         self.now = 0.0
-        self.asked: set[str] = set()
-        self.silent: set[str] = set()
+        self.queried: set[str] = set()
+        self.unresponsive: set[str] = set()
         self.leaving: set[str] = set()
         self.view = FleetView(clock=lambda: self.now)
         entries = tuple(
@@ -51,8 +51,10 @@
             )
             for number in range(engines)
         )
-        read = EndpointsUpdate(revision=Revision(1), entries=entries, is_snapshot=True)
-        self.view.apply_endpoints_update(update=read)
+        update = EndpointsUpdate(
+            revision=Revision(1), entries=entries, is_snapshot=True
+        )
+        self.view.apply_endpoints_update(update=update)
         route = SimpleNamespace(
             host="a.example",
             prefix="/",
@@ -62,22 +64,24 @@
             configuration=SimpleNamespace(version=1, routes=(route,))  # type: ignore[arg-type]
         )
         self.caches = CacheMap(clock=lambda: self.now)
-        self.word = SimpleNamespace(is_platform_reader=first, is_domain_owner=None)
-        self.quiet = EndpointBackoffs(clock=lambda: self.now)
-        self.lists = CacheDiscovery(
+        self.peer_summary = SimpleNamespace(
+            is_platform_reader=is_platform_reader, is_domain_owner=None
+        )
+        self.backoffs = EndpointBackoffs(clock=lambda: self.now)
+        self.discovery = CacheDiscovery(
             view=self.view,
             caches=self.caches,
-            peer_summary=self.word,  # type: ignore[arg-type]
+            peer_summary=self.peer_summary,  # type: ignore[arg-type]
             shards=ShardMap(view=self.view),
-            quiet=self.quiet,
-            reader=SimpleNamespace(cached_parts=self._cached),
+            quiet=self.backoffs,
+            reader=SimpleNamespace(cached_parts=self._cached_parts),
             failure_domain=FailureDomain("here"),
             clock=lambda: self.now,
         )
 
-    async def _cached(self, *, entry: EndpointEntry) -> CachedParts:
-        self.asked.add(entry.endpoint)
-        if entry.endpoint in self.silent:
+    async def _cached_parts(self, *, entry: EndpointEntry) -> CachedParts:
+        self.queried.add(entry.endpoint)
+        if entry.endpoint in self.unresponsive:
             await anyio.sleep_forever()
         return CachedParts(
             endpoint=entry.endpoint,
@@ -85,98 +89,98 @@
             leaving=entry.endpoint in self.leaving,
         )
 
-    async def look(self, at: float) -> None:
-        self.now = at
-        await self.lists.discover()
+    async def discover_at(self, uptime: float) -> None:
+        self.now = uptime
+        await self.discovery.discover()
 
 
-async def test_each_router_asks_a_few_engines() -> None:
-    world = World(engines=MAX_ENGINES_QUERIED_BY_ALL, first=False)
+async def test_each_router_queries_all_of_a_few_engines() -> None:
+    harness = Harness(engines=MAX_ENGINES_QUERIED_BY_ALL, is_platform_reader=False)
 
-    await world.look(QUERY_DELAY_SECONDS)
+    await harness.discover_at(QUERY_DELAY_SECONDS)
 
-    assert len(world.asked) == MAX_ENGINES_QUERIED_BY_ALL
-    assert world.caches.is_populated
+    assert len(harness.queried) == MAX_ENGINES_QUERIED_BY_ALL
+    assert harness.caches.is_populated
 
 
-async def test_one_router_asks_many_engines() -> None:
-    world = World(engines=MAX_ENGINES_QUERIED_BY_ALL + 1, first=True)
+async def test_platform_reader_queries_many_engines() -> None:
+    harness = Harness(engines=MAX_ENGINES_QUERIED_BY_ALL + 1, is_platform_reader=True)
 
-    await world.look(QUERY_DELAY_SECONDS)
-    early = len(world.asked)
-    await world.look(READER_SETTLED_SECONDS)
+    await harness.discover_at(QUERY_DELAY_SECONDS)
+    early = len(harness.queried)
+    await harness.discover_at(READER_SETTLED_SECONDS)
 
     assert early == 0
-    assert len(world.asked) == MAX_ENGINES_QUERIED_BY_ALL + 1
-    assert world.caches.part_count == 1
+    assert len(harness.queried) == MAX_ENGINES_QUERIED_BY_ALL + 1
+    assert harness.caches.part_count == 1
 
 
-async def test_the_others_wait_for_it_and_not_for_ever() -> None:
-    world = World(engines=MAX_ENGINES_QUERIED_BY_ALL + 1, first=False)
+async def test_other_routers_wait_for_the_platform_reader_until_they_give_up() -> None:
+    harness = Harness(engines=MAX_ENGINES_QUERIED_BY_ALL + 1, is_platform_reader=False)
 
-    await world.look(READER_SETTLED_SECONDS)
-    waiting = world.caches.is_populated
-    await world.look(GIVE_UP_SECONDS)
+    await harness.discover_at(READER_SETTLED_SECONDS)
+    waiting = harness.caches.is_populated
+    await harness.discover_at(GIVE_UP_SECONDS)
 
     assert not waiting
-    assert world.caches.is_populated
-    assert not world.asked
+    assert harness.caches.is_populated
+    assert not harness.queried
 
 
-async def test_engine_that_does_not_answer_keeps_nobody_waiting() -> None:
-    """All routers start behind a cut that some engines lie beyond."""
-    world = World(engines=3, first=False)
-    world.silent.add("engine-1")
+async def test_unresponsive_engine_does_not_hold_requests_up() -> None:
+    """Guards against requests that wait for an engine beyond a network partition."""
+    harness = Harness(engines=3, is_platform_reader=False)
+    harness.unresponsive.add("engine-1")
     async with anyio.create_task_group() as tasks:
-        tasks.start_soon(world.look, QUERY_DELAY_SECONDS)
-        with anyio.fail_after(LIMIT):
-            await world.caches._populated.wait()
-        read = len(world.caches.all_uses())
+        tasks.start_soon(harness.discover_at, QUERY_DELAY_SECONDS)
+        with anyio.fail_after(TIMEOUT_SECONDS):
+            await harness.caches._populated.wait()
+        received = len(harness.caches.all_uses())
         tasks.cancel_scope.cancel()
 
-    assert world.asked == {"engine-0", "engine-1", "engine-2"}
-    assert read == 2
+    assert harness.queried == {"engine-0", "engine-1", "engine-2"}
+    assert received == 2
 
 
-async def test_member_of_a_large_fleet_asks_no_engine() -> None:
-    """Hundreds of routers start at once; each hears of few others at first."""
-    world = World(engines=59, first=True)
-    await world.look(QUERY_DELAY_SECONDS)
-    world.word.is_domain_owner = False
-    await world.look(READER_SETTLED_SECONDS)
+async def test_member_of_a_large_fleet_queries_no_engine() -> None:
+    """Hundreds of routers start at once; each receives few reports at first."""
+    harness = Harness(engines=59, is_platform_reader=True)
+    await harness.discover_at(QUERY_DELAY_SECONDS)
+    harness.peer_summary.is_domain_owner = False
+    await harness.discover_at(READER_SETTLED_SECONDS)
 
-    assert world.caches.is_populated
-    assert not world.asked
+    assert harness.caches.is_populated
+    assert not harness.queried
 
 
-async def test_owner_asks_the_engines_of_its_failure_domain_once() -> None:
-    world = World(engines=59, first=False)
-    world.word.is_domain_owner = False
-    await world.look(QUERY_DELAY_SECONDS)
-    world.word.is_domain_owner = True
-    await world.look(READER_SETTLED_SECONDS)
-    asked = set(world.asked)
-    world.asked.clear()
-    await world.look(GIVE_UP_SECONDS)
+async def test_owner_queries_the_engines_of_its_failure_domain_once() -> None:
+    harness = Harness(engines=59, is_platform_reader=False)
+    harness.peer_summary.is_domain_owner = False
+    await harness.discover_at(QUERY_DELAY_SECONDS)
+    harness.peer_summary.is_domain_owner = True
+    await harness.discover_at(READER_SETTLED_SECONDS)
+    queried = set(harness.queried)
+    harness.queried.clear()
+    await harness.discover_at(GIVE_UP_SECONDS)
 
-    assert asked == {f"engine-{number}" for number in range(0, 59, 5)}
-    assert not world.asked
+    assert queried == {f"engine-{number}" for number in range(0, 59, 5)}
+    assert not harness.queried
 
 
-async def test_engine_that_wants_quiet_is_not_asked() -> None:
-    world = World(engines=3, first=True)
-    quiet = EndpointId("engine-1")
-    world.quiet.record(endpoint=quiet, seconds=5.0)
-    await world.look(QUERY_DELAY_SECONDS)
+async def test_router_does_not_query_an_engine_during_its_backoff() -> None:
+    harness = Harness(engines=3, is_platform_reader=True)
+    backing_off = EndpointId("engine-1")
+    harness.backoffs.record(endpoint=backing_off, seconds=5.0)
+    await harness.discover_at(QUERY_DELAY_SECONDS)
 
-    assert world.asked == {"engine-0", "engine-2"}
+    assert harness.queried == {"engine-0", "engine-2"}
 
 
-async def test_engine_whose_list_says_that_it_leaves_gets_no_work() -> None:
-    world = World(engines=3, first=True)
-    world.leaving.add("engine-1")
-    await world.look(QUERY_DELAY_SECONDS)
-    entry = world.view.entries[0]
+async def test_engine_that_announces_leaving_gets_no_requests() -> None:
+    harness = Harness(engines=3, is_platform_reader=True)
+    harness.leaving.add("engine-1")
+    await harness.discover_at(QUERY_DELAY_SECONDS)
+    entry = harness.view.entries[0]
 
-    ready = world.view.ready(service=entry.service)
+    ready = harness.view.ready(service=entry.service)
     assert [each.endpoint for each in ready] == ["engine-0", "engine-2"]
--- a/dotterelpaddle/tests/peers/test_datagrams.py
+++ b/dotterelpaddle/tests/peers/test_datagrams.py
@@ -16,38 +16,38 @@
 pytestmark = pytest.mark.anyio
 
 ANYWHERE = Address(host="127.0.0.1", port=0)
-LIMIT = 10.0
-"""Seconds after which a wait fails."""
+TIMEOUT_SECONDS = 10.0
+"""Timeout of a wait."""
 
 
-async def test_datagrams_come_with_their_sender() -> None:
+async def test_receive_returns_datagrams_with_their_sender() -> None:
     links = Links()
     async with (
-        open_datagram_socket(address=ANYWHERE, links=links) as one,
-        open_datagram_socket(address=ANYWHERE, links=links) as other,
+        open_datagram_socket(address=ANYWHERE, links=links) as sender,
+        open_datagram_socket(address=ANYWHERE, links=links) as receiver,
     ):
-        await one.send(b"first", other.address)
-        await one.send(b"second", other.address)
-        with anyio.fail_after(LIMIT):
-            received = [await other.receive(), await other.receive()]
+        await sender.send(b"first", receiver.address)
+        await sender.send(b"second", receiver.address)
+        with anyio.fail_after(TIMEOUT_SECONDS):
+            received = [await receiver.receive(), await receiver.receive()]
 
-    assert received == [(b"first", one.address), (b"second", one.address)]
+    assert received == [(b"first", sender.address), (b"second", sender.address)]
 
 
-async def test_reader_that_waits_can_be_cancelled() -> None:
-    """Guards against a router that never ends because it listens."""
-    async with open_datagram_socket(address=ANYWHERE, links=Links()) as datagrams:
+async def test_waiting_receiver_can_be_cancelled() -> None:
+    """Guards against a router that can't stop while it waits for a datagram."""
+    async with open_datagram_socket(address=ANYWHERE, links=Links()) as receiver:
         with anyio.move_on_after(0.01) as scope:
-            await datagrams.receive()
+            await receiver.receive()
 
     assert scope.cancelled_caught
 
 
-async def test_flood_that_nobody_reads_does_not_grow_without_end() -> None:
-    """Guards against a frozen router that runs out of memory when it wakes."""
-    inbox = _ReceiveQueue()
+async def test_queue_of_unread_datagrams_is_bounded() -> None:
+    """Guards against a suspended router that runs out of memory when it resumes."""
+    queue = _ReceiveQueue()
     for number in range(MAX_QUEUED_DATAGRAMS + 5):
-        inbox.datagram_received(b"%d" % number, ("127.0.0.1", 1))
+        queue.datagram_received(b"%d" % number, ("127.0.0.1", 1))
 
-    datagram, _ = await inbox.receive()
+    datagram, _ = await queue.receive()
     assert datagram == b"5"
--- a/dotterelpaddle/tests/peers/test_messages.py
+++ b/dotterelpaddle/tests/peers/test_messages.py
@@ -1,4 +1,4 @@
-"""Reports between routers, and what is not one."""
+"""Wire format of reports between routers, and the directory that they update."""
 
 from __future__ import annotations
 
@@ -48,11 +48,13 @@
 THIRD = Address(host="10.0.0.3", port=1)
 
 
-def _name(name: str, *, port: int = 1, domain: str = "here", link: int = 0) -> PeerInfo:
+def _peer_info(
+    router: str, *, port: int = 1, domain: str = "here", link: int = 0
+) -> PeerInfo:
     return PeerInfo(
-        router=RouterId(name),
+        router=RouterId(router),
         failure_domain=FailureDomain(domain),
-        address=Address(host=name, port=port),
+        address=Address(host=router, port=port),
         link=link,
     )
 
@@ -87,25 +89,25 @@
             "domains": (FailureDomain("here"),),
             "uses": ((5, EndpointId("a")),),
             "parts": 1,
-            "peers": (_name("10.0.0.3"),),
+            "peers": (_peer_info("10.0.0.3"),),
             **fields,
         }
     )
 
 
-class _World:
+class _Harness:
     def __init__(self) -> None:
         self.now = 0.0
         self.directory = PeerDirectory(
-            own=_name("10.0.0.1"), seeds=(OWN, OTHER), clock=lambda: self.now
+            own=_peer_info("10.0.0.1"), seeds=(OWN, OTHER), clock=lambda: self.now
         )
 
 
-def test_report_survives_the_wire() -> None:
+def test_report_round_trip() -> None:
     assert decode_report(datagram=encode_report(report=_report())) == _report()
 
 
-def test_notes_of_crashes_survive_the_wire() -> None:
+def test_crash_notes_round_trip() -> None:
     notes = (
         CrashNote(
             kind=NoteKind.ENDED,
@@ -126,7 +128,7 @@
     assert decode_report(datagram=encode_report(report=report)) == report
 
 
-def test_notes_that_only_later_releases_know_are_passed_over() -> None:
+def test_decoder_skips_notes_of_unknown_kinds() -> None:
     fields = orjson.loads(encode_report(report=_report()))
     fields[CRASHES_INDEX] = [["later", "f", None, 0, False, 1]]
 
@@ -135,7 +137,7 @@
     assert decoded == _report()
 
 
-def test_report_of_an_earlier_release_tells_no_crashes() -> None:
+def test_report_of_an_earlier_release_lacks_appended_fields() -> None:
     fields = orjson.loads(encode_report(report=_report()))
 
     decoded = decode_report(datagram=orjson.dumps(fields[:CRASHES_INDEX]))
@@ -146,15 +148,15 @@
     assert not decoded.platform_lost
 
 
-def test_endpoints_that_leave_survive_the_wire() -> None:
+def test_leaving_endpoints_round_trip() -> None:
     notes = (LeavingNotice(endpoint=EndpointId("a@1"), age=1.5),)
     report = _report(leaving_endpoints=notes)
 
     assert decode_report(datagram=encode_report(report=report)) == report
 
 
-def test_names_in_a_report_are_bounded() -> None:
-    many = tuple(_name("10.0.0.1", port=port) for port in range(1, 100))
+def test_list_of_peers_in_a_report_is_bounded() -> None:
+    many = tuple(_peer_info("10.0.0.1", port=port) for port in range(1, 100))
 
     decoded = decode_report(datagram=encode_report(report=_report(peers=many)))
 
@@ -162,9 +164,9 @@
 
 
 @given(st.binary(max_size=64))
-def test_noise_is_no_report(noise: bytes) -> None:
+def test_random_bytes_are_no_report(datagram: bytes) -> None:
     with pytest.raises(ControlError):
-        decode_report(datagram=noise)
+        decode_report(datagram=datagram)
 
 
 @given(
@@ -193,31 +195,31 @@
         decode_report(datagram=orjson.dumps(fields))
 
 
-def test_older_report_of_the_same_process_is_no_news() -> None:
-    world = _World()
+def test_directory_ignores_an_older_report_of_the_same_process() -> None:
+    harness = _Harness()
 
-    assert world.directory.receive(report=_report(sequence=5), address=OTHER)
-    assert not world.directory.receive(report=_report(sequence=4), address=OTHER)
-    assert not world.directory.receive(report=_report(sequence=5), address=OTHER)
-    assert world.directory.receive(
+    assert harness.directory.receive(report=_report(sequence=5), address=OTHER)
+    assert not harness.directory.receive(report=_report(sequence=4), address=OTHER)
+    assert not harness.directory.receive(report=_report(sequence=5), address=OTHER)
+    assert harness.directory.receive(
         report=_report(sequence=1, incarnation=8), address=OTHER
     )
 
 
 def test_silent_router_is_lost_and_found_again() -> None:
-    world = _World()
-    world.directory.receive(report=_report(), address=OTHER)
-    world.now = PEER_TIMEOUT_SECONDS + 0.1
-    world.directory.update_liveness()
-    lost = world.directory.alive
-    world.directory.receive(report=_report(sequence=2), address=OTHER)
+    harness = _Harness()
+    harness.directory.receive(report=_report(), address=OTHER)
+    harness.now = PEER_TIMEOUT_SECONDS + 0.1
+    harness.directory.update_liveness()
+    lost = harness.directory.alive
+    harness.directory.receive(report=_report(sequence=2), address=OTHER)
 
     assert lost == ()
-    assert len(world.directory.alive) == 1
+    assert len(harness.directory.alive) == 1
 
 
-def test_failure_domain_is_heard_while_any_of_its_routers_is() -> None:
-    world = _World()
+def test_failure_domain_is_reachable_while_one_of_its_routers_reports() -> None:
+    harness = _Harness()
     for name, domain in (("one", "near"), ("two", "near"), ("three", "far")):
         report = _report(
             router=RouterId(name),
@@ -225,8 +227,8 @@
             share=RequestTotals(),
             peers=(),
         )
-        world.directory.receive(report=report, address=Address(host=name, port=1))
-    world.now = RECENT_REPORT_SECONDS + 0.1
+        harness.directory.receive(report=report, address=Address(host=name, port=1))
+    harness.now = RECENT_REPORT_SECONDS + 0.1
     later = _report(
         sequence=2,
         router=RouterId("two"),
@@ -234,70 +236,71 @@
         share=RequestTotals(),
         peers=(),
     )
-    world.directory.receive(report=later, address=Address(host="two", port=1))
+    harness.directory.receive(report=later, address=Address(host="two", port=1))
 
-    assert world.directory.reachable_domains() == {"near": True, "far": False}
+    assert harness.directory.reachable_domains() == {"near": True, "far": False}
 
 
-def test_addresses_that_do_not_answer_are_tried_once_a_second() -> None:
-    world = _World()
+def test_unanswered_attempts_repeat_once_a_second() -> None:
+    harness = _Harness()
 
-    first = world.directory.unreached_targets()
-    at_once = world.directory.unreached_targets()
-    world.now = RETRY_SECONDS
-    later = world.directory.unreached_targets()
+    initial = harness.directory.unreached_targets()
+    immediate = harness.directory.unreached_targets()
+    harness.now = RETRY_SECONDS
+    later = harness.directory.unreached_targets()
 
-    assert first == [OTHER]
-    assert at_once == []
+    assert initial == [OTHER]
+    assert immediate == []
     assert later == [OTHER]
 
 
-def test_address_that_does_not_answer_is_tried_again_soon_but_once() -> None:
-    """It may belong to a host that was started a moment later."""
-    world = _World()
-    tried = []
+def test_first_retry_comes_soon_and_later_ones_do_not() -> None:
+    """The address may belong to a host that starts a moment later."""
+    harness = _Harness()
+    attempted = []
     for now in (
         0.0,
         FIRST_RETRY_SECONDS,
         2 * FIRST_RETRY_SECONDS,
         3 * FIRST_RETRY_SECONDS,
     ):
-        world.now = now
-        tried.append(bool(world.directory.unreached_targets()))
+        harness.now = now
+        attempted.append(bool(harness.directory.unreached_targets()))
 
-    assert tried == [True, True, False, False]
+    assert attempted == [True, True, False, False]
 
 
-def test_routers_that_others_name_are_tried() -> None:
-    world = _World()
-    world.directory.receive(report=_report(), address=OTHER)
+def test_directory_attempts_to_reach_listed_peers() -> None:
+    harness = _Harness()
+    harness.directory.receive(report=_report(), address=OTHER)
 
-    assert world.directory.unreached_targets() == [THIRD]
+    assert harness.directory.unreached_targets() == [THIRD]
 
 
-def test_router_that_is_long_silent_is_forgotten() -> None:
-    world = _World()
-    world.directory.receive(report=_report(peers=()), address=THIRD)
-    world.now = PEER_EXPIRY_SECONDS + 1
-    world.directory.update_liveness()
+def test_directory_forgets_an_expired_router() -> None:
+    harness = _Harness()
+    harness.directory.receive(report=_report(peers=()), address=THIRD)
+    harness.now = PEER_EXPIRY_SECONDS + 1
+    harness.directory.update_liveness()
 
-    assert world.directory.router_count == 1
-    assert set(world.directory.unreached_targets()) <= {OTHER}
+    assert harness.directory.router_count == 1
+    assert set(harness.directory.unreached_targets()) <= {OTHER}
 
 
-def test_start_of_an_endpoint_is_told() -> None:
-    start, other = EndpointId("a@1733000000123"), EndpointId("b")
+def test_incarnations_round_trip() -> None:
+    incarnation, other = EndpointId("a@1733000000123"), EndpointId("b")
     report = _report(
-        share=RequestTotals(loads={start: 2, other: 1}), uses=((5, start), (6, other))
+        share=RequestTotals(loads={incarnation: 2, other: 1}),
+        uses=((5, incarnation), (6, other)),
     )
 
     decoded = decode_report(datagram=encode_report(report=report))
 
-    assert decoded.share.loads == {start: 2, other: 1}
-    assert decoded.uses == ((5, start), (6, other))
+    assert decoded.share.loads == {incarnation: 2, other: 1}
+    assert decoded.uses == ((5, incarnation), (6, other))
 
 
-def test_only_the_latest_start_is_told() -> None:
+def test_report_holds_only_the_latest_incarnation() -> None:
     earlier, later = EndpointId("a@1733000000123"), EndpointId("a@1733000000999")
     report = _report(
         share=RequestTotals(loads={earlier: 2, later: 1}),
@@ -310,8 +313,8 @@
     assert decoded.uses == ((6, later),)
 
 
-def test_report_without_starts_counts_for_the_known_ones_but_tells_no_parts() -> None:
-    """As an earlier release writes it, which knows endpoints by name only."""
+def test_report_without_incarnations_counts_loads_but_not_parts() -> None:
+    """Releases without incarnations know endpoints by name only."""
     fields = orjson.loads(encode_report(report=_report()))
     known = EndpointId("a@1733000000123")
 
@@ -323,9 +326,11 @@
     assert decoded.uses == ((5, "a"),)
 
 
-def test_earlier_releases_find_names_where_they_look() -> None:
-    start = EndpointId("a@1733000000123")
-    report = _report(share=RequestTotals(loads={start: 2}), uses=((5, start),))
+def test_report_keeps_names_where_earlier_releases_read_them() -> None:
+    incarnation = EndpointId("a@1733000000123")
+    report = _report(
+        share=RequestTotals(loads={incarnation: 2}), uses=((5, incarnation),)
+    )
 
     fields = orjson.loads(encode_report(report=report))
 
@@ -334,12 +339,13 @@
     assert len(fields) > INCARNATIONS_INDEX
 
 
-def test_report_tells_what_waits_to_be_read() -> None:
-    start = EndpointId("a@1733000000123")
+def test_queued_tokens_round_trip() -> None:
+    incarnation = EndpointId("a@1733000000123")
     report = _report(
-        share=RequestTotals(loads={start: 2}, queued_tokens={start: 9000}), uses=()
+        share=RequestTotals(loads={incarnation: 2}, queued_tokens={incarnation: 9000}),
+        uses=(),
     )
 
     decoded = decode_report(datagram=encode_report(report=report))
 
-    assert decoded.share.queued_tokens == {start: 9000}
+    assert decoded.share.queued_tokens == {incarnation: 9000}
--- a/dotterelpaddle/tests/peers/test_plan.py
+++ b/dotterelpaddle/tests/peers/test_plan.py
@@ -1,4 +1,4 @@
-"""Who is told what in fleets of several sizes, under loss, ends and cuts."""
+"""Reports in fleets of several sizes, with losses, crashes and network partitions."""
 
 from __future__ import annotations
 
@@ -22,8 +22,8 @@
 
 DOMAINS = (FailureDomain("a"), FailureDomain("b"), FailureDomain("c"))
 A = EndpointId("engine-a")
-START_TIME = 6.0
-"""Seconds in which the routers of a large fleet have learnt of each other."""
+START_SECONDS = 6.0
+"""Time within which the routers of a large fleet discover each other."""
 
 
 def _fleet(*, routers: int, loss: float = 0.0) -> Fleet:
@@ -34,13 +34,13 @@
     return fleet
 
 
-def _hold(fleet: Fleet) -> int:
-    """Let each router have some requests in flight; return the sum."""
+def _hold_requests(fleet: Fleet) -> int:
+    """Put some requests of each router in flight; return their number."""
     held = 0
     for number, node in enumerate(fleet.nodes):
         count = 1 + number % 3
         for _ in range(count):
-            fleet.held.enter_context(node.loads.track(endpoint=A))
+            fleet.held_requests.enter_context(node.loads.track(endpoint=A))
         held += count
     return held
 
@@ -50,17 +50,17 @@
 )
 async def test_every_router_counts_all_requests_once(routers: int) -> None:
     fleet = _fleet(routers=routers)
-    held = _hold(fleet)
+    held = _hold_requests(fleet)
 
-    await fleet.run(START_TIME)
+    await fleet.run(START_SECONDS)
 
     assert {node.load(A) for node in fleet.nodes} == {held}
 
 
-async def test_lost_datagrams_change_little() -> None:
+async def test_lost_datagrams_barely_change_counts() -> None:
     fleet = _fleet(routers=40, loss=0.1)
-    held = _hold(fleet)
-    await fleet.run(START_TIME)
+    held = _hold_requests(fleet)
+    await fleet.run(START_SECONDS)
 
     for _ in range(20):
         await fleet.run(0.2)
@@ -71,7 +71,7 @@
 @pytest.mark.parametrize("routers", [30, 58, 90])
 async def test_reports_of_a_router_do_not_grow_with_the_fleet(routers: int) -> None:
     fleet = _fleet(routers=routers)
-    await fleet.run(START_TIME)
+    await fleet.run(START_SECONDS)
     for node in fleet.nodes:
         node.sent = 0
 
@@ -83,14 +83,14 @@
     assert sent[-1] <= 5 * (routers / len(DOMAINS) + 5)
 
 
-async def test_others_go_on_when_an_aggregator_ends() -> None:
+async def test_next_routers_aggregate_after_the_aggregators_crash() -> None:
     fleet = _fleet(routers=30)
-    held = _hold(fleet)
-    await fleet.run(START_TIME)
+    held = _hold_requests(fleet)
+    await fleet.run(START_SECONDS)
     domain = FailureDomain("a")
     first = fleet.nodes[0].directory.aggregators(failure_domain=domain)
-    ended = [node for node in fleet.nodes if node.name in first]
-    fleet.down = {node.name.address for node in ended}
+    ended = [node for node in fleet.nodes if node.info in first]
+    fleet.down = {node.info.address for node in ended}
     held -= sum(node.loads.own[A] for node in ended)
 
     await fleet.run(2 * PEER_TIMEOUT_SECONDS + 2.0)
@@ -102,13 +102,13 @@
     assert not set(again) & set(first)
 
 
-async def test_router_that_comes_back_aggregates_again() -> None:
+async def test_returning_router_aggregates_again() -> None:
     fleet = _fleet(routers=30)
-    held = _hold(fleet)
-    await fleet.run(START_TIME)
+    held = _hold_requests(fleet)
+    await fleet.run(START_SECONDS)
     domain = FailureDomain("a")
     first = fleet.nodes[0].directory.aggregators(failure_domain=domain)
-    fleet.down = {name.address for name in first}
+    fleet.down = {info.address for info in first}
     await fleet.run(4.0)
 
     fleet.down = set()
@@ -118,24 +118,24 @@
     assert {node.load(A) for node in fleet.nodes} == {held}
 
 
-async def test_members_learn_that_another_failure_domain_is_cut_off() -> None:
+async def test_members_detect_that_another_failure_domain_is_cut_off() -> None:
     fleet = _fleet(routers=30)
-    await fleet.run(START_TIME)
-    near = [n for n in fleet.nodes if n.name.failure_domain != "c"]
-    before = [node.directory.reachable_domains() for node in near]
+    await fleet.run(START_SECONDS)
+    members = [each for each in fleet.nodes if each.info.failure_domain != "c"]
+    before = [node.directory.reachable_domains() for node in members]
 
-    fleet.cut = {FailureDomain("c")}
+    fleet.isolated = {FailureDomain("c")}
     await fleet.run(2.0)
 
-    assert all(all(heard.values()) for heard in before)
-    for node in near:
-        heard = node.directory.reachable_domains()
-        assert heard == dict(zip(DOMAINS, (True, True, False), strict=True))
+    assert all(all(reachable.values()) for reachable in before)
+    for node in members:
+        reachable = node.directory.reachable_domains()
+        assert reachable == dict(zip(DOMAINS, (True, True, False), strict=True))
 
 
 async def test_uses_of_parts_reach_every_router() -> None:
     fleet = _fleet(routers=30, loss=0.05)
-    await fleet.run(START_TIME)
+    await fleet.run(START_SECONDS)
     for number, node in enumerate(fleet.nodes):
         node.caches.record_part(endpoint=A, part=number)
 
@@ -144,75 +144,75 @@
     assert {node.caches.part_count for node in fleet.nodes} == {30}
 
 
-async def test_each_failure_domain_has_one_owner_that_all_know() -> None:
+async def test_all_routers_know_the_owner_of_each_failure_domain() -> None:
     fleet = _fleet(routers=58)
-    await fleet.run(START_TIME)
+    await fleet.run(START_SECONDS)
 
     known = [node.directory.owners() for node in fleet.nodes]
     owners = known[0]
     assert owners.keys() == set(DOMAINS)
     assert all(each == owners for each in known)
     aggregating = {
-        name.router
+        info.router
         for domain in DOMAINS
-        for name in fleet.nodes[0].directory.aggregators(failure_domain=domain)
+        for info in fleet.nodes[0].directory.aggregators(failure_domain=domain)
     }
-    assert not aggregating & {name.router for name in owners.values()}
+    assert not aggregating & {info.router for info in owners.values()}
 
 
-async def test_owner_that_fell_silent_is_replaced() -> None:
+async def test_silent_owner_is_replaced() -> None:
     fleet = _fleet(routers=58)
-    await fleet.run(START_TIME)
+    await fleet.run(START_SECONDS)
     before = fleet.nodes[0].directory.owners()[DOMAINS[0]]
     fleet.down.add(before.address)
 
     await fleet.run(2 * PEER_TIMEOUT_SECONDS)
 
-    alive = [node for node in fleet.nodes if node.name != before]
+    alive = [node for node in fleet.nodes if node.info != before]
     after = {node.directory.owners()[DOMAINS[0]].router for node in alive}
     assert len(after) == 1
     assert before.router not in after
 
 
-HANDOVER_TIME = 0.6
-"""Seconds, three reports, within which all ask another router than one that stops."""
+HANDOVER_SECONDS = 0.6
+"""Time, three reports, within which all routers replace one that is stopping."""
 
 
-async def test_owner_that_stops_is_replaced_while_it_still_answers() -> None:
+async def test_stopping_owner_is_replaced_while_it_still_answers() -> None:
     fleet = _fleet(routers=58)
-    await fleet.run(START_TIME)
+    await fleet.run(START_SECONDS)
     before = fleet.nodes[0].directory.owners()[DOMAINS[0]]
-    stopping = next(node for node in fleet.nodes if node.name == before)
+    stopping = next(node for node in fleet.nodes if node.info == before)
     stopping.directory.announce_leaving()
 
-    await fleet.run(HANDOVER_TIME)
+    await fleet.run(HANDOVER_SECONDS)
 
     after = {node.directory.owners()[DOMAINS[0]].router for node in fleet.nodes}
     assert len(after) == 1
     assert before.router not in after
 
 
-def _find_late(fleet: Fleet, name: PeerInfo, *, every: int) -> None:
-    """Let some routers of an owner's failure domain get no answer of it in time."""
-    near = [
+def _mark_late(fleet: Fleet, owner: PeerInfo, *, every: int) -> None:
+    """Mark an owner as unresponsive at each `every`-th router of its failure domain."""
+    members = [
         node
         for node in fleet.nodes
-        if node.name.failure_domain == name.failure_domain and node.name != name
+        if node.info.failure_domain == owner.failure_domain and node.info != owner
     ]
-    for node in near[::every]:
-        node.exchange._owners._silent_until[name.router] = (
+    for node in members[::every]:
+        node.exchange._owners._cooldown_until[owner.router] = (
             fleet.now + LATE_OWNER_COOLDOWN_SECONDS
         )
 
 
-async def test_owner_that_answers_late_is_replaced_and_not_named_again_soon() -> None:
-    """Guards against an owner on a busy host, which reports and yet does not answer."""
+async def test_late_owner_is_replaced_and_not_elected_during_its_cooldown() -> None:
+    """Guards against an owner on a busy host, which sends reports but no answers."""
     fleet = _fleet(routers=58)
-    await fleet.run(START_TIME)
+    await fleet.run(START_SECONDS)
     before = fleet.nodes[0].directory.owners()[DOMAINS[0]]
-    _find_late(fleet, before, every=1)
+    _mark_late(fleet, before, every=1)
 
-    await fleet.run(HANDOVER_TIME)
+    await fleet.run(HANDOVER_SECONDS)
 
     for seconds in (0.0, LATE_OWNER_COOLDOWN_SECONDS - 2.0):
         await fleet.run(seconds)
@@ -221,37 +221,37 @@
         assert before.router not in after
 
 
-async def test_owner_that_a_few_find_silent_goes_on() -> None:
-    """Guards against owners that change wherever some packets are lost."""
+async def test_owner_that_is_silent_to_a_few_routers_is_kept() -> None:
+    """Guards against the replacement of owners after a few lost packets."""
     fleet = _fleet(routers=58)
-    await fleet.run(START_TIME)
+    await fleet.run(START_SECONDS)
     before = fleet.nodes[0].directory.owners()[DOMAINS[0]]
-    _find_late(fleet, before, every=3)
+    _mark_late(fleet, before, every=3)
 
-    await fleet.run(2 * HANDOVER_TIME)
+    await fleet.run(2 * HANDOVER_SECONDS)
 
     assert {node.directory.owners()[DOMAINS[0]] for node in fleet.nodes} == {before}
 
 
-async def test_owners_that_are_all_late_go_on() -> None:
+async def test_late_owners_are_kept_if_all_routers_are_late() -> None:
     fleet = _fleet(routers=58)
-    await fleet.run(START_TIME)
+    await fleet.run(START_SECONDS)
     for node in fleet.nodes:
-        _find_late(fleet, node.name, every=1)
-    await fleet.run(2 * START_TIME)
+        _mark_late(fleet, node.info, every=1)
+    await fleet.run(2 * START_SECONDS)
 
     assert all(node.directory.owners().keys() == set(DOMAINS) for node in fleet.nodes)
 
 
-async def test_aggregators_that_stop_are_replaced_while_they_still_answer() -> None:
+async def test_stopping_aggregators_are_replaced_while_they_still_answer() -> None:
     fleet = _fleet(routers=58)
-    _hold(fleet)
-    await fleet.run(START_TIME)
-    stopping = [node for node in fleet.nodes if node.shares.is_aggregator]
+    _hold_requests(fleet)
+    await fleet.run(START_SECONDS)
+    stopping = [node for node in fleet.nodes if node.totals.is_aggregator]
     for node in stopping:
         node.directory.announce_leaving()
-    await fleet.run(3 * HANDOVER_TIME)
-    fleet.down.update(node.name.address for node in stopping)
+    await fleet.run(3 * HANDOVER_SECONDS)
+    fleet.down.update(node.info.address for node in stopping)
 
     staying = [node for node in fleet.nodes if node not in stopping]
     held = sum(node.loads.own[A] for node in staying)
@@ -263,9 +263,9 @@
     assert {node.load(A) for node in staying} == {held}
 
 
-async def test_routers_that_all_stop_go_on_until_they_end() -> None:
+async def test_owners_are_kept_while_all_routers_are_stopping() -> None:
     fleet = _fleet(routers=30)
-    await fleet.run(START_TIME)
+    await fleet.run(START_SECONDS)
     for node in fleet.nodes:
         node.directory.announce_leaving()
     await fleet.run(1.0)
@@ -273,53 +273,55 @@
     assert all(node.directory.owners().keys() == set(DOMAINS) for node in fleet.nodes)
 
 
-async def test_small_fleet_names_no_owners() -> None:
+async def test_small_fleet_has_no_owners() -> None:
     fleet = _fleet(routers=MAX_MESH_ROUTERS)
-    await fleet.run(START_TIME)
+    await fleet.run(START_SECONDS)
 
     assert not any(node.directory.owners() for node in fleet.nodes)
 
 
-async def test_one_router_of_all_reads_the_platform() -> None:
+async def test_fleet_has_one_platform_reader() -> None:
     fleet = _fleet(routers=58)
-    await fleet.run(START_TIME)
+    await fleet.run(START_SECONDS)
 
-    assert sum(node.word.is_platform_reader for node in fleet.nodes) == 1
-    relying = [node for node in fleet.nodes if node.word.receives_configurations]
+    assert sum(node.peer_summary.is_platform_reader for node in fleet.nodes) == 1
+    relying = [
+        node for node in fleet.nodes if node.peer_summary.receives_configurations
+    ]
     assert len(relying) == 58 - 2 * len(DOMAINS)
 
 
-CALM_TIME = 8.0
-"""Seconds without trouble after which all routers know the same again."""
+RECOVERY_SECONDS = 8.0
+"""Time without faults after which all routers have the same state again."""
 
 
 @pytest.mark.parametrize("seed", range(8))
-async def test_all_is_counted_once_after_any_trouble(seed: int) -> None:
-    """Routers end, return, are cut off and lose datagrams, in series and at once."""
-    dice = random.Random(seed)
-    fleet = _fleet(routers=dice.choice([14, 18, 27, 40]))
-    held = _hold(fleet)
-    await fleet.run(START_TIME)
+async def test_all_requests_are_counted_once_after_any_fault(seed: int) -> None:
+    """Routers crash, return, get cut off and lose datagrams, also at the same time."""
+    rng = random.Random(seed)
+    fleet = _fleet(routers=rng.choice([14, 18, 27, 40]))
+    held = _hold_requests(fleet)
+    await fleet.run(START_SECONDS)
 
     for _ in range(12):
-        match dice.randrange(4):
+        match rng.randrange(4):
             case 0:
-                ended = dice.sample(fleet.nodes, dice.randrange(len(fleet.nodes)))
-                fleet.down = {node.name.address for node in ended}
+                ended = rng.sample(fleet.nodes, rng.randrange(len(fleet.nodes)))
+                fleet.down = {node.info.address for node in ended}
             case 1:
                 fleet.down = set()
             case 2:
-                fleet.cut = set(dice.sample(DOMAINS, dice.randrange(2)))
+                fleet.isolated = set(rng.sample(DOMAINS, rng.randrange(2)))
             case 3:
-                fleet.loss = dice.choice([0.0, 0.1, 0.5])
-        for _ in range(dice.choice([2, 5, 15])):
+                fleet.loss = rng.choice([0.0, 0.1, 0.5])
+        for _ in range(rng.choice([2, 5, 15])):
             await fleet.run(0.2)
-            # Some may be missing while roles change; nobody counts twice.
+            # A count may lack requests while roles change; it never counts one twice.
             assert all(node.load(A) <= held for node in fleet.nodes)
-    fleet.down, fleet.cut, fleet.loss = set(), set(), 0.0
-    await fleet.run(CALM_TIME)
+    fleet.down, fleet.isolated, fleet.loss = set(), set(), 0.0
+    await fleet.run(RECOVERY_SECONDS)
 
     assert {node.load(A) for node in fleet.nodes} == {held}
-    assert sum(node.word.is_platform_reader for node in fleet.nodes) == 1
+    assert sum(node.peer_summary.is_platform_reader for node in fleet.nodes) == 1
     for node in fleet.nodes:
         assert all(node.directory.reachable_domains().values())
--- a/dotterelpaddle/tests/peers/test_snapshot.py
+++ b/dotterelpaddle/tests/peers/test_snapshot.py
@@ -1,4 +1,4 @@
-"""Documents that routers hand to each other, and what is none."""
+"""Snapshot and configuration documents that routers send each other."""
 
 from __future__ import annotations
 
@@ -31,7 +31,7 @@
 )
 
 DOCUMENTS = PlatformDocumentDecoder()
-NOTHING_KNOWN = SnapshotRequest(revision=None, uses=True)
+FULL_REQUEST = SnapshotRequest(revision=None, uses=True)
 
 
 def _view(version: int = 3) -> FleetView:
@@ -54,78 +54,78 @@
     return caches
 
 
-def test_snapshot_holds_what_is_known() -> None:
+def test_snapshot_round_trip() -> None:
     view = _view()
-    content = encode_snapshot(view=view, caches=_caches(), request=NOTHING_KNOWN)
+    content = encode_snapshot(view=view, caches=_caches(), request=FULL_REQUEST)
 
-    taken = decode_snapshot(
+    decoded = decode_snapshot(
         content=content, documents=DOCUMENTS, unusable=UnusableEntries()
     )
 
-    assert taken.endpoints == view.endpoints_since(revision=None)
-    assert taken.uses == ((7, "a"),)
+    assert decoded.endpoints == view.endpoints_since(revision=None)
+    assert decoded.uses == ((7, "a"),)
 
 
-def test_one_that_knows_all_is_told_nothing() -> None:
+def test_snapshot_for_an_up_to_date_router_is_empty() -> None:
     request = SnapshotRequest(revision=Revision(5), uses=False)
     content = encode_snapshot(view=_view(), caches=_caches(), request=request)
 
-    taken = decode_snapshot(
+    decoded = decode_snapshot(
         content=content, documents=DOCUMENTS, unusable=UnusableEntries()
     )
 
-    assert taken.endpoints is not None
-    assert taken.endpoints.entries == ()
-    assert taken.uses == ()
+    assert decoded.endpoints is not None
+    assert decoded.endpoints.entries == ()
+    assert decoded.uses == ()
 
 
 @given(
     revision=st.none() | st.integers(0, 2**60).map(Revision),
     uses=st.booleans(),
 )
-def test_request_survives_the_query(revision: Revision | None, uses: bool) -> None:
+def test_request_round_trip(revision: Revision | None, uses: bool) -> None:
     request = SnapshotRequest(revision=revision, uses=uses)
 
     assert SnapshotRequest.parse(query=request.query) == request
 
 
-def test_query_that_makes_no_sense_asks_for_all_endpoints() -> None:
+def test_invalid_query_requests_all_endpoints() -> None:
     request = SnapshotRequest.parse(query="revision=x&uses=&other=1")
 
     assert request == SnapshotRequest(revision=None, uses=False)
 
 
-def test_configuration_is_handed_out_compressed_and_as_it_is_now() -> None:
+def test_configuration_document_is_compressed_and_current() -> None:
     view = _view(version=3)
     document = ConfigurationDocument(view=view)
     first = document.content
     later = DOCUMENTS.configuration(document=orjson.dumps(configuration(version=9)))
     view.apply_configuration(configuration=later)
 
-    taken = decode_configuration(content=document.content, documents=DOCUMENTS)
+    decoded = decode_configuration(content=document.content, documents=DOCUMENTS)
 
-    assert taken == later
+    assert decoded == later
     assert document.content != first
     assert len(first) < len(later.document) / 2
 
 
-def test_router_without_configuration_hands_out_none() -> None:
+def test_document_without_configuration_decodes_to_none() -> None:
     document = ConfigurationDocument(view=FleetView(clock=lambda: 0.0))
 
     assert decode_configuration(content=document.content, documents=DOCUMENTS) is None
 
 
 @given(st.binary(max_size=64))
-def test_noise_is_no_snapshot(noise: bytes) -> None:
-    for content in (noise, zlib.compress(noise)):
+def test_random_bytes_are_no_snapshot(random_bytes: bytes) -> None:
+    for content in (random_bytes, zlib.compress(random_bytes)):
         with pytest.raises(ControlError):
             decode_snapshot(
                 content=content, documents=DOCUMENTS, unusable=UnusableEntries()
             )
 
 
-def test_document_that_was_cut_off_is_none() -> None:
-    content = encode_snapshot(view=_view(), caches=_caches(), request=NOTHING_KNOWN)
+def test_truncated_document_is_no_snapshot() -> None:
+    content = encode_snapshot(view=_view(), caches=_caches(), request=FULL_REQUEST)
 
     with pytest.raises(ControlError, match="cut off"):
         decode_snapshot(
@@ -133,7 +133,7 @@
         )
 
 
-def test_document_that_expands_without_end_is_none(
+def test_document_above_the_maximum_size_is_no_snapshot(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     monkeypatch.setattr(snapshot, "MAX_DOCUMENT_BYTES", 1000)
--- a/dotterelpaddle/tests/peers/test_summary.py
+++ b/dotterelpaddle/tests/peers/test_summary.py
@@ -1,4 +1,4 @@
-"""What a router may rely on because others say so."""
+"""What a router concludes from the reports of its peers."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 from dotterelpaddle.tests.forwarding.entries import make_entry
 
 OWN = Address(host="10.0.0.1", port=1)
-NEVER = float("inf")
+UNKNOWN_AGE = float("inf")
 NONE_EVACUATED = EvacuationSnapshot(revision=Revision(1), domains=frozenset())
 
 
@@ -32,8 +32,8 @@
     return view
 
 
-class World:
-    """One router and what it hears, with a clock that tests turn."""
+class Harness:
+    """One router that receives reports, with a simulated clock."""
 
     def __init__(self, *, view: FleetView, name: str = "own") -> None:
         self.now = 0.0
@@ -45,24 +45,24 @@
             link=0,
         )
         self.directory = PeerDirectory(own=own, seeds=(), clock=lambda: self.now)
-        self.shares = TotalsTracker(
+        self.totals = TotalsTracker(
             failure_domain=own.failure_domain, clock=lambda: self.now
         )
-        self.word = PeerSummary(
+        self.peer_summary = PeerSummary(
             view=view,
             directory=self.directory,
-            shares=self.shares,
+            shares=self.totals,
             clock=lambda: self.now,
         )
         self._sequence = 0
 
-    def hear(
+    def receive_report(
         self,
         router: str,
         *,
         view: FleetView,
         age: float = 0.0,
-        cut_off: bool = False,
+        platform_lost: bool = False,
         evacuated: EvacuationSnapshot | None = NONE_EVACUATED,
     ) -> None:
         self._sequence += 1
@@ -78,124 +78,136 @@
             endpoints_age=age,
             endpoints_tag=view.endpoints_tag,
             share=RequestTotals(),
-            platform_lost=cut_off,
+            platform_lost=platform_lost,
             evacuated=evacuated,
         )
         self.directory.receive(report=report, address=Address(host=router, port=1))
 
 
-def test_lone_router_reads_for_itself() -> None:
-    world = World(view=_view(revision=1))
+def test_single_router_is_platform_reader() -> None:
+    harness = Harness(view=_view(revision=1))
 
-    assert world.word.is_platform_reader
-    assert world.word.endpoints_age == NEVER
-    assert world.word.configuration_age == NEVER
-    assert not world.word.endpoints_outdated
+    assert harness.peer_summary.is_platform_reader
+    assert harness.peer_summary.endpoints_age == UNKNOWN_AGE
+    assert harness.peer_summary.configuration_age == UNKNOWN_AGE
+    assert not harness.peer_summary.endpoints_outdated
 
 
-def test_one_of_those_that_hear_each_other_reads_first() -> None:
+def test_connected_routers_have_one_platform_reader() -> None:
     names = [f"router-{number}" for number in range(9)]
-    first = []
+    readers = []
     for name in names:
-        world = World(view=_view(revision=1), name=name)
+        harness = Harness(view=_view(revision=1), name=name)
         for other in names:
             if other != name:
-                world.hear(other, view=world.view)
-        first.append(world.word.is_platform_reader)
+                harness.receive_report(other, view=harness.view)
+        readers.append(harness.peer_summary.is_platform_reader)
 
-    assert first.count(True) == 1
+    assert readers.count(True) == 1
 
 
-def test_first_one_that_reaches_the_platform_reads_for_the_others() -> None:
-    """Guards against news that nobody reads while the first router is cut off."""
+def test_platform_reader_is_a_router_that_reaches_the_platform() -> None:
+    """Guards against a fleet without a reader while the best router is cut off."""
     names = [f"router-{number}" for number in range(9)]
-    worlds = {}
+    harnesses = {}
     for name in names:
-        worlds[name] = World(view=_view(revision=1), name=name)
+        harnesses[name] = Harness(view=_view(revision=1), name=name)
         for other in names:
             if other != name:
-                worlds[name].hear(other, view=worlds[name].view)
-    (first,) = [name for name in names if worlds[name].word.is_platform_reader]
+                harnesses[name].receive_report(other, view=harnesses[name].view)
+    (first,) = [
+        name for name in names if harnesses[name].peer_summary.is_platform_reader
+    ]
     others = [name for name in names if name != first]
     for name in others:
-        worlds[name].hear(first, view=worlds[name].view, cut_off=True)
+        harnesses[name].receive_report(
+            first, view=harnesses[name].view, platform_lost=True
+        )
 
-    assert [worlds[name].word.is_platform_reader for name in others].count(True) == 1
+    assert [harnesses[name].peer_summary.is_platform_reader for name in others].count(
+        True
+    ) == 1
 
 
-def test_word_of_one_that_knows_the_same_grows_old() -> None:
-    world = World(view=_view(revision=3))
-    world.hear("other", view=_view(revision=8), age=0.25)
-    world.now = 0.5
+def test_age_of_confirmed_endpoints_grows_with_time() -> None:
+    harness = Harness(view=_view(revision=3))
+    harness.receive_report("other", view=_view(revision=8), age=0.25)
+    harness.now = 0.5
 
-    assert world.word.endpoints_age == pytest.approx(0.75)
-    assert world.word.configuration_age == pytest.approx(0.75)
-    assert not world.word.endpoints_outdated
+    assert harness.peer_summary.endpoints_age == pytest.approx(0.75)
+    assert harness.peer_summary.configuration_age == pytest.approx(0.75)
+    assert not harness.peer_summary.endpoints_outdated
 
 
-def test_router_that_knows_of_no_evacuations_does_not_vouch_for_them() -> None:
-    """Guards against evacuations that are missed beside routers of earlier releases."""
-    world = World(view=_view(revision=3))
-    world.hear("other", view=_view(revision=8), age=0.25, evacuated=None)
+def test_report_without_evacuations_confirms_no_configuration() -> None:
+    """Guards against missed evacuations in a fleet with routers of earlier releases."""
+    harness = Harness(view=_view(revision=3))
+    harness.receive_report("other", view=_view(revision=8), age=0.25, evacuated=None)
 
-    assert world.word.configuration_age == NEVER
+    assert harness.peer_summary.configuration_age == UNKNOWN_AGE
 
 
-def test_word_of_one_that_knows_other_endpoints_counts_for_nothing() -> None:
-    world = World(view=_view(revision=3))
-    world.hear("other", view=_view(revision=8, state=EndpointState.DRAINING))
+def test_report_with_other_endpoints_confirms_nothing() -> None:
+    harness = Harness(view=_view(revision=3))
+    harness.receive_report(
+        "other", view=_view(revision=8, state=EndpointState.DRAINING)
+    )
 
-    assert world.word.endpoints_age == NEVER
-    assert world.word.endpoints_outdated
+    assert harness.peer_summary.endpoints_age == UNKNOWN_AGE
+    assert harness.peer_summary.endpoints_outdated
 
 
-def test_earlier_endpoints_of_others_are_no_news() -> None:
-    world = World(view=_view(revision=8, state=EndpointState.DRAINING))
-    world.hear("other", view=_view(revision=3))
+def test_older_endpoints_of_a_peer_do_not_outdate_own_ones() -> None:
+    harness = Harness(view=_view(revision=8, state=EndpointState.DRAINING))
+    harness.receive_report("other", view=_view(revision=3))
 
-    assert not world.word.endpoints_outdated
-    assert world.word.endpoints_age == NEVER
+    assert not harness.peer_summary.endpoints_outdated
+    assert harness.peer_summary.endpoints_age == UNKNOWN_AGE
 
 
-def test_router_that_fell_silent_vouches_for_nothing() -> None:
-    world = World(view=_view(revision=3))
-    world.hear("other", view=_view(revision=3))
-    world.now = 2 * PEER_TIMEOUT_SECONDS
-    world.directory.update_liveness()
+def test_silent_router_confirms_nothing() -> None:
+    harness = Harness(view=_view(revision=3))
+    harness.receive_report("other", view=_view(revision=3))
+    harness.now = 2 * PEER_TIMEOUT_SECONDS
+    harness.directory.update_liveness()
 
-    assert world.word.endpoints_age == NEVER
-    assert world.word.is_platform_reader
+    assert harness.peer_summary.endpoints_age == UNKNOWN_AGE
+    assert harness.peer_summary.is_platform_reader
 
 
-def test_router_that_relies_on_aggregators_is_told_all_news() -> None:
-    world = World(view=_view(revision=3))
-    world.shares.has_aggregators = True
-    world.shares.is_aggregator = False
-    alone = world.word.receives_configurations
-    world.hear("other", view=_view(revision=3))
-    relying = world.word.receives_configurations
-    world.shares.is_aggregator = True
+def test_router_with_aggregators_receives_configurations() -> None:
+    harness = Harness(view=_view(revision=3))
+    harness.totals.has_aggregators = True
+    harness.totals.is_aggregator = False
+    alone = harness.peer_summary.receives_configurations
+    harness.receive_report("other", view=_view(revision=3))
+    with_peer = harness.peer_summary.receives_configurations
+    harness.totals.is_aggregator = True
 
-    assert (alone, relying, world.word.receives_configurations) == (False, True, False)
+    assert (alone, with_peer, harness.peer_summary.receives_configurations) == (
+        False,
+        True,
+        False,
+    )
 
 
-def test_endpoints_are_passed_on_to_all_but_the_one_that_reads_first() -> None:
+def test_all_routers_but_the_platform_reader_receive_endpoints() -> None:
     names = [f"router-{number}" for number in range(9)]
-    passed_on = []
+    receiving = []
     for name in names:
-        world = World(view=_view(revision=1), name=name)
-        world.shares.has_aggregators = True
+        harness = Harness(view=_view(revision=1), name=name)
+        harness.totals.has_aggregators = True
         for other in names:
             if other != name:
-                world.hear(other, view=world.view)
-        passed_on.append(world.word.receives_endpoints)
+                harness.receive_report(other, view=harness.view)
+        receiving.append(harness.peer_summary.receives_endpoints)
 
-    assert passed_on.count(False) == 1
+    assert receiving.count(False) == 1
 
 
-def test_each_router_of_a_small_fleet_asks_for_what_it_lacks() -> None:
-    world = World(view=_view(revision=1))
-    world.hear("other", view=_view(revision=3))
+def test_routers_of_a_small_fleet_receive_nothing_from_aggregators() -> None:
+    harness = Harness(view=_view(revision=1))
+    harness.receive_report("other", view=_view(revision=3))
 
-    assert not world.word.receives_endpoints
-    assert not world.word.receives_configurations
+    assert not harness.peer_summary.receives_endpoints
+    assert not harness.peer_summary.receives_configurations
