--- a/dotterelpaddle/peers/summary.py
+++ b/dotterelpaddle/peers/summary.py
@@ -21,7 +21,7 @@
 
 
 class PeerSummary:
-    """Implements `dotterelpaddle.forwarding.interface.Vouching`.
+    """Implements `dotterelpaddle.forwarding.interface.PeerStatus`.
 
     Args:
         view: Configuration and endpoints in force.
