--- a/dotterelpaddle/owners/__init__.py
+++ b/dotterelpaddle/owners/__init__.py
@@ -1,1 +1,1 @@
-"""One router counts what is in flight at a shard of endpoints, and decides there."""
+"""Shard owners: one router counts the requests in a shard and places new ones."""
--- a/dotterelpaddle/owners/counts.py
+++ b/dotterelpaddle/owners/counts.py
@@ -1,7 +1,7 @@
 """Counts requests in flight at the endpoints of a shard, over all routers.
 
-A grant counts from the moment at which it is given. What routers tell of themselves
-replaces what was counted for them, so that lost, doubled and late messages heal.
+A request counts from the moment its owner grants an endpoint. A router's report
+replaces its earlier counts, which corrects for lost, duplicate and late messages.
 """
 
 from __future__ import annotations
@@ -18,11 +18,11 @@
     from dotterelpaddle.owners.messages import InFlightReport
 
 REPORT_INTERVAL_SECONDS = 0.5
-"""Seconds after which a router with requests in flight tells of them again."""
+"""Seconds after which a router with requests in flight repeats its report."""
 
 REPORT_TTL_SECONDS = 1.6
-"""Seconds that counts are believed without news: three tellings. A router that has
-ended takes its requests with it."""
+"""Seconds until the report of a router expires: three report intervals. The requests
+of a router end with its process."""
 
 
 @dataclass(kw_only=True, slots=True)
@@ -30,9 +30,9 @@
     """What one router has in flight.
 
     Attributes:
-        report: What it told last.
-        received_at: When that came, seconds on the monotonic clock.
-        granted: Endpoints granted to it that it has not told of, by question.
+        report: Its latest report.
+        received_at: When the report arrived, seconds on the monotonic clock.
+        granted: Endpoints granted to it that no report covers yet, by request number.
     """
 
     report: InFlightReport
@@ -41,7 +41,7 @@
 
 
 class ShardCounts:
-    """Requests in flight, as routers tell them and as they were granted.
+    """Requests in flight, from the reports of routers and the grants to them.
 
     Args:
         clock: Monotonic clock.
@@ -55,52 +55,58 @@
 
     @property
     def warmed_up(self) -> bool:
-        """Whether all routers had the time to tell what they have in flight."""
+        """Whether all routers have had time to report since counting started."""
         return self._started_at is not None and (
             self._clock() - self._started_at >= REPORT_TTL_SECONDS
         )
 
     @property
     def loads(self) -> Mapping[EndpointId, int]:
-        """Requests in flight by endpoint, those of the counting router left out."""
+        """Requests in flight by endpoint, without those of the counting router."""
         self._expire_routers()
         return self._loads
 
     def record_report(self, *, report: InFlightReport) -> None:
-        """Take in what a router tells."""
+        """Replace the counts of a router by its report, unless the report is stale."""
         now = self._clock()
         self._start_if_idle(now)
-        known = self._routers.get(report.router)
-        if known is None:
+        state = self._routers.get(report.router)
+        if state is None:
             self._routers[report.router] = _RouterState(report=report, received_at=now)
             self._add(report.loads, 1)
             return
-        same = known.report.incarnation == report.incarnation
-        if same and report.sequence <= known.report.sequence:
+        same_process = state.report.incarnation == report.incarnation
+        if same_process and report.sequence <= state.report.sequence:
             return
-        self._add(known.report.loads, -1)
+        self._add(state.report.loads, -1)
         self._add(report.loads, 1)
-        known.report, known.received_at = report, now
-        for number in [each for each in known.granted if each not in report.pending]:
-            self._adjust(known.granted.pop(number), -1)
+        state.report, state.received_at = report, now
+        for number in [each for each in state.granted if each not in report.pending]:
+            self._adjust(state.granted.pop(number), -1)
 
     def record_grant(
         self, *, report: InFlightReport, number: int, endpoint: EndpointId
     ) -> None:
-        """Count a request that was granted to a router which asked just now."""
-        known = self._routers.get(report.router)
-        # A later message may have overtaken the question and given it up.
+        """Count a granted request until the next report of its router covers it.
+
+        Args:
+            report: The report that came with the grant request.
+            number: Number of the grant request.
+            endpoint: The granted endpoint.
+        """
+        state = self._routers.get(report.router)
+        # A later report may have arrived first, and show the request as abandoned.
         if (
-            known is None
-            or number not in known.report.pending
-            or number in known.granted
+            state is None
+            or number not in state.report.pending
+            or number in state.granted
         ):
             return
-        known.granted[number] = endpoint
+        state.granted[number] = endpoint
         self._adjust(endpoint, 1)
 
     def _start_if_idle(self, now: float) -> None:
-        """Notice when this router takes the part of an owner, also once more."""
+        """Restart the warm-up when this router becomes an owner, or does so again."""
         idle = all(
             now - each.received_at > REPORT_TTL_SECONDS
             for each in self._routers.values()
@@ -110,11 +116,11 @@
 
     def _expire_routers(self) -> None:
         oldest = self._clock() - REPORT_TTL_SECONDS
-        for router, known in tuple(self._routers.items()):
-            if known.received_at < oldest:
+        for router, state in tuple(self._routers.items()):
+            if state.received_at < oldest:
                 del self._routers[router]
-                self._add(known.report.loads, -1)
-                for endpoint in known.granted.values():
+                self._add(state.report.loads, -1)
+                for endpoint in state.granted.values():
                     self._adjust(endpoint, -1)
 
     def _add(self, loads: Mapping[EndpointId, int], sign: int) -> None:
--- a/dotterelpaddle/owners/exchange.py
+++ b/dotterelpaddle/owners/exchange.py
@@ -1,4 +1,4 @@
-"""Exchanges messages with the owners of shards."""
+"""Exchanges grant requests, grants and reports with the owners of shards."""
 
 from __future__ import annotations
 
@@ -34,25 +34,25 @@
 log = get_logger(name=__name__)
 
 OWNER_TIMEOUT_SECONDS = 0.03
-"""Seconds that an owner has to answer before the next is asked. An answer takes 3 ms
-between failure domains, ten times that on a busy host; callers expect answers within
-0.12 s or more."""
+"""Seconds that a router waits for an owner before it asks the next one. An answer takes
+3 ms between failure domains and ten times that on a busy host; callers expect answers
+within 0.12 s or more."""
 
 OWNER_COOLDOWN_SECONDS = 0.4
-"""Seconds that an owner is not asked after it did not answer. Its aggregators name
-another one when it has been silent for a second."""
+"""Seconds that a router does not ask an owner again after a timeout. The aggregators
+name another owner once this one has been unresponsive for a second."""
 
 REPORT_BATCH_SECONDS = 0.02
-"""Seconds in which ends of requests are gathered into one message."""
+"""Seconds for which a router collects changes before it sends a report."""
 
 
 class OwnerExchange:
-    """Asks owners, answers as one, and tells owners what is in flight.
+    """Requests grants from owners, answers as an owner, and reports what is in flight.
 
     Args:
-        directory: Tells who owns what.
-        reporter: This router's requests in flight.
-        owner: Answers the questions of others.
+        directory: Lists the owner of each failure domain.
+        reporter: Reports this router's requests in flight.
+        owner: Decides on the grant requests that this router receives.
         clock: Monotonic clock.
     """
 
@@ -73,7 +73,7 @@
 
     @property
     def unresponsive(self) -> tuple[RouterId, ...]:
-        """Owners that have just not answered in time."""
+        """Owners in cooldown after a timeout."""
         now = self._clock()
         self._cooldown_until = {
             router: until
@@ -83,10 +83,10 @@
         return tuple(self._cooldown_until)
 
     async def run(self, datagrams: DatagramSocket) -> None:
-        """Tell owners what is in flight until cancelled.
+        """Report to owners what is in flight until cancelled.
 
         Args:
-            datagrams: The socket for it.
+            datagrams: Socket that sends the messages.
         """
         self._datagrams = datagrams
         while True:
@@ -102,55 +102,54 @@
     async def request_grant(
         self, *, domain: FailureDomain, query: PlacementQuery
     ) -> PendingGrant | None:
-        """Ask for an endpoint: the owner of a failure domain, or who stands in for it.
+        """Ask the owner of a failure domain, or its fallback owners, for an endpoint.
 
         Args:
             domain: The failure domain.
-            query: What the endpoint is wanted for.
+            query: The request to place.
 
         Returns:
-            The question with its answer, None if none came in time. The request must
-            be counted in the turn of the loop in which this returns, or the question
-            given up.
+            The grant with its request, None if no owner answered in time. The caller
+            must count the request, or abandon the grant, before it awaits again.
         """
         for owner in failover_order(domain=domain, owners=self._directory.owners()):
             if self._is_cooling_down(owner):
                 continue
-            answered = await self._request_grant_from(
+            pending = await self._request_grant_from(
                 owner=owner, domain=domain, query=query
             )
-            if answered is not None:
-                return answered
+            if pending is not None:
+                return pending
         return None
 
     async def _request_grant_from(
         self, *, owner: PeerInfo, domain: FailureDomain, query: PlacementQuery
     ) -> PendingGrant | None:
-        asked = self._reporter.open_request(owner=owner.router)
+        pending = self._reporter.open_request(owner=owner.router)
         try:
-            question = GrantRequest(
-                number=asked.number,
+            request = GrantRequest(
+                number=pending.number,
                 report=self._reporter.build_report(domain=domain),
                 query=query,
             )
             if owner.router == self._directory.own.router:
-                self._reporter.resolve(grant=self._owner.decide(request=question))
-                return asked
-            await self._send(encode(message=question), owner.address)
+                self._reporter.resolve(grant=self._owner.decide(request=request))
+                return pending
+            await self._send(encode(message=request), owner.address)
             with anyio.move_on_after(OWNER_TIMEOUT_SECONDS):
-                await asked.answered.wait()
+                await pending.answered.wait()
         except BaseException:
-            self._reporter.abandon(pending=asked)
+            self._reporter.abandon(pending=pending)
             raise
-        if asked.grant is not None:
-            return asked
-        self._reporter.abandon(pending=asked)
+        if pending.grant is not None:
+            return pending
+        self._reporter.abandon(pending=pending)
         self._cooldown_until[owner.router] = self._clock() + OWNER_COOLDOWN_SECONDS
         log.warning("owner_silent", router=owner.router, seconds=OWNER_TIMEOUT_SECONDS)
         return None
 
     async def receive(self, *, datagram: bytes, address: Address) -> None:
-        """Take in a message of another router."""
+        """Handle a message from another router."""
         try:
             message = decode(datagram=datagram)
         except ControlError as error:
@@ -169,16 +168,19 @@
         return self._clock() < self._cooldown_until.get(owner.router, 0.0)
 
     async def _send_reports(self, domains: set[FailureDomain]) -> None:
-        told = {self._directory.own.router}
+        reported = {self._directory.own.router}
         for domain in sorted(domains):
-            held = self._reporter.build_report(domain=domain)
+            report = self._reporter.build_report(domain=domain)
             for owner in self._counting_owners(domain=domain):
-                if owner.router not in told:
-                    told.add(owner.router)
-                    await self._send(encode(message=held), owner.address)
+                if owner.router not in reported:
+                    reported.add(owner.router)
+                    await self._send(encode(message=report), owner.address)
 
     def _counting_owners(self, *, domain: FailureDomain) -> Iterator[PeerInfo]:
-        """Those that count for a failure domain: a silent owner may answer others."""
+        """Owners that need reports for a failure domain.
+
+        An owner in cooldown gets them too, because it may still answer other routers.
+        """
         for owner in failover_order(domain=domain, owners=self._directory.owners()):
             yield owner
             if not self._is_cooling_down(owner):
--- a/dotterelpaddle/owners/failover.py
+++ b/dotterelpaddle/owners/failover.py
@@ -1,7 +1,7 @@
-"""Who decides for a failure domain whose owner does not answer.
+"""The order in which routers ask owners if the first one does not answer.
 
-Routers that decide by themselves all see the same old counts, and send what they have
-to the same endpoints. So they turn to one other owner, the same for all of them.
+Routers that decide locally all see the same stale counts, and send their requests to
+the same endpoints. So they all fail over to the same other owner instead.
 """
 
 from __future__ import annotations
@@ -16,20 +16,21 @@
     from dotterelpaddle.peers.messages import PeerInfo
 
 MAX_OWNERS_ASKED = 3
-"""Owners that may be asked in turn; each silent one costs a caller the wait for it."""
+"""Owners that a router asks in turn. Each one that does not answer adds its timeout to
+the latency of the caller."""
 
 
 def failover_order(
     *, domain: FailureDomain, owners: Mapping[FailureDomain, PeerInfo]
 ) -> Sequence[PeerInfo]:
-    """The owner of a failure domain, and those that decide there in its place, in turn.
+    """Return the owner of a failure domain and its fallback owners, in order.
 
-    The owners of the failure domains that follow it by name: each one stands in for
-    another domain.
+    The fallbacks are the owners of the failure domains that follow by name, so each
+    owner is the first fallback of a different domain.
 
     Args:
         domain: The failure domain.
-        owners: All owners that are known.
+        owners: All known owners.
     """
     domains = sorted(owners)
     first = bisect.bisect_left(domains, domain)
--- a/dotterelpaddle/owners/messages.py
+++ b/dotterelpaddle/owners/messages.py
@@ -1,4 +1,4 @@
-"""What routers and the owner of a shard tell each other, as datagrams."""
+"""Messages between routers and shard owners, and their datagram format."""
 
 from __future__ import annotations
 
@@ -25,21 +25,21 @@
 GRANT_REQUEST_KIND, GRANT_KIND, REPORT_KIND = "question", "grant", "held"
 
 DATAGRAM_PREFIX = b'["'
-"""How each of these datagrams begins; reports begin with a number."""
+"""Start of each of these datagrams; load reports between peers start with a number."""
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class InFlightReport:
-    """What a router has in flight, so that whoever counts it can count anew.
+    """All requests that a router has in flight.
 
-    Each message tells it whole: one that is lost is made good by the next.
+    Each report is a full snapshot, so the next one makes up for a lost one.
 
     Attributes:
-        router: The router.
-        incarnation: Number of its process.
-        sequence: Grows with each of its messages.
-        loads: Requests in flight, by endpoint, those granted just now included.
-        pending: Numbers of its questions that have no answer yet.
+        router: The reporting router.
+        incarnation: Random number of its process.
+        sequence: Number of the report, which increases within an incarnation.
+        loads: Requests in flight by endpoint, including grants not yet in use.
+        pending: Numbers of its grant requests without an answer.
     """
 
     router: RouterId
@@ -51,17 +51,18 @@
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class PlacementQuery:
-    """What an endpoint is wanted for; a placer reads it like a request.
+    """A request to place, in the form that `ForwardPlacer` reads.
 
     Attributes:
-        service: The service that the request is for.
+        service: The service that the caller requests.
         shard: Failure domain whose endpoints may be chosen, None for all.
-        model: Model that the request is for, empty for none.
-        prompt: Parts of its prompt, in order; the last is the request's own.
-        repeatable: Whether a failure there could be made good elsewhere.
-        excluded: Endpoints that can't be chosen.
-        ignore_bound: Whether an endpoint is to be chosen even if all are over their bound.
-        cached_at: Endpoint of another shard that has the shared parts, None if none.
+        model: The model that the caller requests, empty for none.
+        prompt: Parts of its prompt, in order; no other request shares the last one.
+        repeatable: Whether the router can retry the request at another endpoint.
+        excluded: Endpoints that the owner ignore_bound not choose.
+        ignore_bound: Whether the owner chooses even if all endpoints are over their
+            load bound.
+        cached_at: Endpoint of another shard that caches the shared parts, or None.
     """
 
     service: ServiceName
@@ -76,12 +77,12 @@
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class GrantRequest:
-    """Asks where a request should go.
+    """Asks an owner for an endpoint.
 
     Attributes:
-        number: Names the question to its sender.
-        report: What the sender has in flight.
-        query: What the endpoint is wanted for.
+        number: Identifies this grant request to its sender.
+        report: Requests that the sender has in flight.
+        query: The request to place.
     """
 
     number: int
@@ -91,18 +92,18 @@
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class Grant:
-    """The owner's answer.
+    """An owner's answer to a grant request.
 
     Attributes:
-        number: The question that it answers.
-        endpoint: Where the request should go; None if all are over their bound.
-        fetch_from: Endpoint whose cache has what it lacks, or all that is shared
-            where none was chosen; None if none has.
-        reason: Why it was chosen.
-        load: Its requests in flight, this one excluded.
-        mean_load: The mean over the endpoints of the service.
-        missing: Shared prompt tokens that it does not have.
-        work: Time until it can answer, in tokens read.
+        number: Number of the grant request.
+        endpoint: The chosen endpoint, None if all are over their load bound.
+        fetch_from: Endpoint that caches the parts which the chosen one lacks, or all
+            shared parts if the owner chose none; None if no endpoint does.
+        reason: Why the owner chose the endpoint.
+        load: Requests in flight at the endpoint, without this one.
+        mean_load: Mean requests in flight over the endpoints of the service.
+        missing: Shared prompt tokens that the endpoint has not cached.
+        work: Work queued before the answer starts, in prompt tokens to read.
     """
 
     number: int
@@ -119,22 +120,22 @@
 
 
 def encode(*, message: Message) -> bytes:
-    """Turn a message into a datagram."""
+    """Encode a message as a datagram."""
     match message:
-        case GrantRequest(number=number, report=held, query=wanted):
+        case GrantRequest(number=number, report=report, query=query):
             return orjson.dumps(
                 [
                     GRANT_REQUEST_KIND,
                     number,
-                    _encode_report(held),
-                    wanted.service,
-                    wanted.shard,
-                    wanted.model,
-                    [[part.digest, part.tokens] for part in wanted.prompt],
-                    wanted.repeatable,
-                    sorted(wanted.excluded),
-                    wanted.ignore_bound,
-                    wanted.cached_at,
+                    _encode_report(report),
+                    query.service,
+                    query.shard,
+                    query.model,
+                    [[part.digest, part.tokens] for part in query.prompt],
+                    query.repeatable,
+                    sorted(query.excluded),
+                    query.ignore_bound,
+                    query.cached_at,
                 ]
             )
         case Grant():
@@ -156,10 +157,10 @@
 
 
 def decode(*, datagram: bytes) -> Message:
-    """Turn a datagram back into a message.
+    """Decode a datagram.
 
     Raises:
-        ControlError: If it is none.
+        ControlError: If the datagram is malformed or of an unknown kind.
     """
     try:
         fields = orjson.loads(datagram)
@@ -177,8 +178,8 @@
         TypeError,
         ValueError,
     ) as error:
-        raise ControlError(f"a message that can't be read: {error!r}") from error
-    raise ControlError(f"a message of unknown kind {fields[0]!r}")
+        raise ControlError(f"malformed owner message: {error!r}") from error
+    raise ControlError(f"unknown kind of owner message: {fields[0]!r}")
 
 
 def _decode_grant_request(fields: Any) -> GrantRequest:
@@ -190,7 +191,9 @@
 
 
 def _decode_query(fields: Any) -> PlacementQuery:
-    service, shard, model, prompt, repeatable, excluded, must, cached_at = fields
+    service, shard, model, prompt, repeatable, excluded, ignore_bound, cached_at = (
+        fields
+    )
     return PlacementQuery(
         service=ServiceName(str(service)),
         shard=None if shard is None else FailureDomain(str(shard)),
@@ -200,7 +203,7 @@
         ),
         repeatable=bool(repeatable),
         excluded=frozenset(EndpointId(str(each)) for each in excluded),
-        ignore_bound=bool(must),
+        ignore_bound=bool(ignore_bound),
         cached_at=_decode_endpoint(cached_at),
     )
 
--- a/dotterelpaddle/owners/owner.py
+++ b/dotterelpaddle/owners/owner.py
@@ -1,8 +1,8 @@
-"""Decides for all routers which endpoint of its shard a request goes to.
+"""Grants endpoints of a shard to all routers.
 
-What arrives at many routers at once is decided in one place, one after the other:
-each decision knows those before it. So no endpoint is the best one for all at the
-same moment, and a prompt that nobody has is read by one endpoint.
+The owner decides on the simultaneous requests of many routers one by one, and each
+decision counts the earlier ones. This keeps routers from all choosing the endpoint
+that was least loaded, and lets a single endpoint read a prompt that none has cached.
 """
 
 from __future__ import annotations
@@ -33,16 +33,16 @@
 
 
 class Owner:
-    """Answers the questions of routers.
+    """Decides on the grant requests of routers.
 
     Args:
         router: This router.
-        view: The endpoints in force.
+        view: The current endpoints.
         placer: Chooses endpoints.
-        shards: Tells which owner counts what.
-        loads: What this router has in flight, and what reports tell of the others.
-        counts: What other routers have in flight, as they tell this one.
-        failure_domain: Where this router is.
+        shards: Maps endpoints to the failure domains whose owners count them.
+        loads: Requests in flight of this router, and of others by peer reports.
+        counts: Requests in flight that other routers report to this owner.
+        failure_domain: Failure domain of this router.
     """
 
     def __init__(
@@ -65,30 +65,30 @@
         self._counts = counts
 
     def record_report(self, *, report: InFlightReport) -> None:
-        """Take in what a router has in flight; its own this one knows."""
+        """Record the report of another router; a report of this router is ignored."""
         if report.router != self._router:
             self._counts.record_report(report=report)
 
     def decide(self, *, request: GrantRequest) -> Grant:
-        """Decide where a request goes, and count it there."""
+        """Choose an endpoint for a request, and count the request there."""
         self.record_report(report=request.report)
-        wanted = request.query
+        query = request.query
         try:
             choice = self._placer.choose_in_shard(
-                service=wanted.service,
-                shard=wanted.shard,
-                request=wanted,
-                retryable=wanted.repeatable,
-                excluded=wanted.excluded,
-                loads=self._current_loads(query=wanted),
-                ignore_bound=wanted.ignore_bound,
-                cached_at=wanted.cached_at,
+                service=query.service,
+                shard=query.shard,
+                request=query,
+                retryable=query.repeatable,
+                excluded=query.excluded,
+                loads=self._current_loads(query=query),
+                ignore_bound=query.ignore_bound,
+                cached_at=query.cached_at,
             )
         except NoEndpoint as error:
             log.info("grant_refused", router=request.report.router, cause=error.message)
             return Grant(number=request.number)
         if choice is None:
-            holder = self._placer.cache_holder(service=wanted.service, request=wanted)
+            holder = self._placer.cache_holder(service=query.service, request=query)
             return Grant(number=request.number, fetch_from=holder)
         endpoint = choice.entry.endpoint
         self._counts.record_grant(
@@ -107,21 +107,21 @@
         )
 
     def _current_loads(self, *, query: PlacementQuery) -> Counter[EndpointId]:
-        """Counts of the shard as routers tell them here, of the others by reports.
+        """Requests in flight: in the shard as counted here, elsewhere by peer reports.
 
-        Reports are a few tenths of a second old. The greater count goes while some
-        routers have not told this one yet, and where it stands in for another owner,
-        which some routers may still be asking.
+        Peer reports are a few tenths of a second old. The method takes the greater of
+        both counts while some routers have not reported to this owner yet, and where
+        this owner replaces another one that some routers may still ask.
         """
         loads = self._loads.loads()
         counted = self._counts.loads
-        settled = self._counts.warmed_up
+        warmed_up = self._counts.warmed_up
         for entry in shard_entries(
             entries=self._view.ready(service=query.service), shard=query.shard
         ):
             endpoint = entry.endpoint
             load = counted.get(endpoint, 0) + self._loads.own.get(endpoint, 0)
             owning = self._shards.owning_domain(endpoint=endpoint)
-            exact = settled and owning == self._failure_domain
+            exact = warmed_up and owning == self._failure_domain
             loads[endpoint] = load if exact else max(load, loads[endpoint])
         return loads
--- a/dotterelpaddle/owners/placer.py
+++ b/dotterelpaddle/owners/placer.py
@@ -1,4 +1,4 @@
-"""Chooses endpoints: by their owners in a large fleet, else by itself."""
+"""Chooses endpoints: through shard owners in a large fleet, else locally."""
 
 from __future__ import annotations
 
@@ -27,23 +27,23 @@
     from dotterelpaddle.peers.directory import PeerDirectory
 
 MAX_SHARDS_ASKED = 2
-"""Shards that are asked for: the second one when all endpoints of the first one are
-over their bound."""
+"""Shards whose owners a router asks: the second one if all endpoints of the first one
+are over their load bound."""
 
 MIN_CANDIDATES = 2
-"""Endpoints below which there is nothing to decide."""
+"""Usable endpoints below which the router does not ask an owner."""
 
 
 class OwnerPlacer:
-    """Lets the owner of a shard choose; where it does not answer, chooses itself.
+    """Asks the owner of a shard to choose, and chooses locally if none grants.
 
     Args:
-        view: The endpoints in force.
+        view: The current endpoints.
         placer: Chooses where no owner does.
         shards: The shards of all services.
-        directory: Tells who owns what.
-        exchange: Asks owners.
-        reporter: Counts what they granted.
+        directory: Lists the owner of each failure domain.
+        exchange: Requests grants from owners.
+        reporter: Counts the grants.
     """
 
     def __init__(
@@ -73,25 +73,25 @@
     ) -> Choice:
         """Choose an endpoint of a service.
 
-        The request must be counted in the turn of the loop in which this returns.
+        The caller must count the request before it awaits again.
 
         Args:
             service: The service.
-            request: What is to be sent.
-            repeatable: Whether a failure there could be made good elsewhere.
-            excluded: Endpoints that were tried already.
+            request: The request to place.
+            repeatable: Whether the router can retry it at another endpoint.
+            excluded: Endpoints that the router has already tried.
 
         Raises:
-            NoEndpoint: If there is none that takes work.
+            NoEndpoint: If no endpoint takes work.
         """
-        decided = await self._choose_by_owners(
+        choice_or_reason = await self._choose_by_owners(
             service=service,
             request=request,
             repeatable=repeatable,
             excluded=excluded,
         )
-        if isinstance(decided, Choice):
-            return decided
+        if isinstance(choice_or_reason, Choice):
+            return choice_or_reason
         choice = self._placer.choose(
             service=service,
             request=request,
@@ -101,7 +101,7 @@
                 Decider.NON_OWNER if self._directory.owners() else Decider.OWNERLESS
             ),
         )
-        return replace(choice, local_reason=decided)
+        return replace(choice, local_reason=choice_or_reason)
 
     async def _choose_by_owners(
         self,
@@ -134,7 +134,7 @@
             domain = self._owning_domain(entries=usable, shard=shard)
             if domain is None:
                 return LocalChoiceReason.NO_OWNER
-            answered = await self._exchange.request_grant(
+            pending = await self._exchange.request_grant(
                 domain=domain,
                 query=PlacementQuery(
                     service=service,
@@ -147,14 +147,14 @@
                     cached_at=cached_at,
                 ),
             )
-            if answered is None or answered.grant is None:
+            if pending is None or pending.grant is None:
                 return LocalChoiceReason.OWNER_SILENT
-            grant = answered.grant
+            grant = pending.grant
             if grant.endpoint in names:
                 return self._build_choice(
-                    grant=grant, owner=answered.owner, usable=usable, request=request
+                    grant=grant, owner=pending.owner, usable=usable, request=request
                 )
-            self._reporter.abandon(pending=answered)
+            self._reporter.abandon(pending=pending)
             cached_at = grant.fetch_from
         return LocalChoiceReason.NOTHING_GRANTED
 
@@ -172,7 +172,7 @@
         usable: Sequence[EndpointEntry],
         request: HasPrompt,
     ) -> Choice:
-        """Turn an owner's answer into a choice."""
+        """Convert an owner's grant to a choice."""
         entry = next(each for each in usable if each.endpoint == grant.endpoint)
         parts = shared_parts(request=request)
         choice = Choice(
@@ -198,7 +198,7 @@
 
 
 def _shard_key(*, service: ServiceName, request: HasPrompt) -> int:
-    """What decides the shard: the deepest part of the prompt that others share."""
+    """Sharding key: the last prompt part that other requests share, or the service."""
     parts = shared_parts(request=request)
     if parts:
         return part_tag(model=request.model, part=parts[-1])
--- a/dotterelpaddle/owners/reporting.py
+++ b/dotterelpaddle/owners/reporting.py
@@ -1,4 +1,4 @@
-"""What this router tells owners of its requests in flight."""
+"""Reports this router's requests in flight to shard owners."""
 
 from __future__ import annotations
 
@@ -21,13 +21,13 @@
 
 @dataclass(kw_only=True)
 class PendingGrant:
-    """A question that waits for its answer.
+    """A grant request and its answer.
 
     Attributes:
-        number: Names it.
-        owner: The router that was asked.
-        answered: Is set by the answer.
-        grant: The answer.
+        number: Number of the grant request.
+        owner: The router that received the request.
+        answered: Event that the answer sets.
+        grant: The answer, None until it arrives.
     """
 
     number: int
@@ -37,12 +37,12 @@
 
 
 class InFlightReporter:
-    """This router's requests in flight, and those that were granted just now.
+    """Tracks this router's requests in flight and its grants not yet in use.
 
     Args:
         router: This router.
         loads: Its requests in flight.
-        shards: Tells which owner counts what.
+        shards: Maps endpoints to the failure domains whose owners count them.
         clock: Monotonic clock.
     """
 
@@ -64,15 +64,15 @@
         loads.on_change(self._on_load_change)
 
     async def wait_for_change(self) -> None:
-        """Wait until an owner must be told of something."""
+        """Wait until a change must be reported to an owner."""
         await self._changed.wait()
 
     def take_due_domains(self) -> set[FailureDomain]:
-        """Failure domains whose owners must be told now.
+        """Return the failure domains whose owners need a report now.
 
-        Those that do not know of an end yet, and those that count requests of this
-        router and have not heard from it for a while: what only goes on somewhere is
-        told again too, whatever happens elsewhere.
+        These are the domains with an unreported change, and those with requests of
+        this router in flight whose last report is too old. Each domain has its own
+        interval, so changes in one domain do not delay reports for another.
         """
         oldest = self._clock() - REPORT_INTERVAL_SECONDS
         due, self._changed_domains = self._changed_domains, set()
@@ -91,10 +91,10 @@
         return {domain for domain in domains if domain is not None}
 
     def build_report(self, *, domain: FailureDomain) -> InFlightReport:
-        """Tell who decides for a failure domain all that is in flight.
+        """Build a report for the owners that decide for a failure domain.
 
-        What is in flight elsewhere is told as well, a handful of requests: an owner
-        that has to stand in for another one knows it at once.
+        The report also covers the few requests in other domains, so that an owner
+        which replaces another one knows them at once.
         """
         self._sequence += 1
         self._reported_at[domain] = self._clock()
@@ -109,24 +109,24 @@
         )
 
     def open_request(self, *, owner: RouterId) -> PendingGrant:
-        """Begin a question to an owner."""
+        """Open a grant request to an owner."""
         self._last_number += 1
-        question = PendingGrant(number=self._last_number, owner=owner)
-        self._pending[question.number] = question
-        return question
+        pending = PendingGrant(number=self._last_number, owner=owner)
+        self._pending[pending.number] = pending
+        return pending
 
     def resolve(self, *, grant: Grant) -> None:
-        """Take in an answer; one that comes too late is passed over."""
-        question = self._pending.pop(grant.number, None)
-        if question is None:
+        """Complete a grant request; an answer that comes too late is ignored."""
+        pending = self._pending.pop(grant.number, None)
+        if pending is None:
             return
-        question.grant = grant
+        pending.grant = grant
         if grant.endpoint is not None:
             self._granted[grant.endpoint] += 1
-        question.answered.set()
+        pending.answered.set()
 
     def abandon(self, *, pending: PendingGrant) -> None:
-        """Forget a question, or the answer to it that nobody uses."""
+        """Drop a grant request, or a grant that the router does not use."""
         self._pending.pop(pending.number, None)
         grant = pending.grant
         if grant is not None and grant.endpoint is not None:
@@ -134,7 +134,7 @@
             self._mark_changed(grant.endpoint)
 
     def _on_load_change(self, endpoint: EndpointId, count: int) -> None:
-        """Let its owner be told, unless it granted the request."""
+        """Schedule a report to the endpoint's owner, unless it granted the request."""
         granted = count > 0 and self._consume_grant(endpoint)
         if not granted:
             self._mark_changed(endpoint)
--- a/dotterelpaddle/owners/shards.py
+++ b/dotterelpaddle/owners/shards.py
@@ -1,4 +1,4 @@
-"""Which shards the endpoints of a service fall into, and which one is for a request."""
+"""Splits the endpoints of a service into shards, and ranks shards for a prompt."""
 
 from __future__ import annotations
 
@@ -15,8 +15,8 @@
     from dotterelpaddle.ids import EndpointId, FailureDomain, ServiceName
 
 MIN_ENDPOINTS_PER_SHARD = 4
-"""Endpoints of a service in each failure domain from which each domain has a shard of
-its own: with fewer there is little to choose from, and one owner counts them all."""
+"""Mean endpoints per failure domain from which each domain is a shard of its own. With
+fewer there is little to choose from, and one owner counts them all."""
 
 _DIGEST_SCALE = 2.0**-64
 
@@ -24,7 +24,7 @@
 def split_into_shards(
     *, entries: Collection[EndpointEntry]
 ) -> tuple[FailureDomain | None, ...]:
-    """The shards of a service: its failure domains, or None for all in one.
+    """Return the shards of a service: its failure domains, or None for a single shard.
 
     Args:
         entries: Its endpoints that take work.
@@ -38,7 +38,7 @@
 def shard_entries(
     *, entries: Collection[EndpointEntry], shard: FailureDomain | None
 ) -> list[EndpointEntry]:
-    """The endpoints of a service that belong to one of its shards."""
+    """Return the endpoints of a service that belong to one of its shards."""
     return [entry for entry in entries if shard in (None, entry.failure_domain)]
 
 
@@ -48,15 +48,16 @@
     entries: Collection[EndpointEntry],
     key: int,
 ) -> Sequence[FailureDomain | None]:
-    """The shards of a service for a prompt, the first choice first.
+    """Rank the shards of a service for a prompt, the preferred one first.
 
-    By rendezvous hashing, weighted by endpoints: all routers send a prompt to the
-    same shard, and one that joins or leaves moves its share of prompts alone.
+    The function uses rendezvous hashing weighted by endpoint count: all routers send a
+    prompt to the same shard, and a shard that joins or leaves moves only its share
+    of the prompts.
 
     Args:
-        shards: All of them.
-        entries: The endpoints that can be used; a shard without any is left out.
-        key: Names the prompt.
+        shards: The shards of the service.
+        entries: Usable endpoints; the result leaves out shards without any.
+        key: Digest that identifies the prompt.
     """
     scores = {
         shard: _score(shard, weight, key)
@@ -69,7 +70,7 @@
 def owning_domain(
     *, service: ServiceName, domains: Collection[FailureDomain]
 ) -> FailureDomain:
-    """The failure domain whose owner counts a service that is one shard."""
+    """Return the failure domain whose owner counts a service with a single shard."""
     return max(domains, key=lambda domain: digest(text=f"{service}/{domain}"))
 
 
@@ -79,10 +80,10 @@
 
 
 class ShardMap:
-    """The shards of all services, worked out anew when endpoints come or go.
+    """The shards of all services, recomputed when endpoints come or go.
 
     Args:
-        view: The endpoints in force.
+        view: The current endpoints.
     """
 
     def __init__(self, *, view: FleetView) -> None:
@@ -114,7 +115,7 @@
             shards = split_into_shards(entries=entries)
             self._shards[service] = shards
             domains = {entry.failure_domain for entry in entries}
-            alone = owning_domain(service=service, domains=domains)
+            single_domain = owning_domain(service=service, domains=domains)
             for entry in entries:
-                own = entry.failure_domain if None not in shards else alone
-                self._owning_domains[entry.endpoint] = own
+                domain = entry.failure_domain if None not in shards else single_domain
+                self._owning_domains[entry.endpoint] = domain
