--- a/dotterelpaddle/log_reader.py
+++ b/dotterelpaddle/log_reader.py
@@ -1,4 +1,4 @@
-"""Reads log lines of several routers, and finds those that tell one request's story."""
+"""Reads log lines of several routers, and finds those that concern one request."""
 
 from __future__ import annotations
 
@@ -11,26 +11,26 @@
     from collections.abc import Iterable, Mapping
 
 CONTEXT_BEFORE_SECONDS = 3.0
-"""Seconds before a request in which its routers' other lines may explain it."""
+"""Time before a request whose other lines from its routers may explain it."""
 
 CONTEXT_AFTER_SECONDS = 1.0
-"""Seconds after it: some of what befell it is noticed a little later."""
+"""Time after a request: routers detect some of its failures a little later."""
 
 COMMON_FIELDS = frozenset(
     {"task_uuid", "task_level", "timestamp", "message_type", "logger_name", "level"}
 )
-"""Fields that every line has; the others are what it tells."""
+"""Fields that any event may have; the others are specific to the event."""
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class LogLine:
-    """One line.
+    """One log line.
 
     Attributes:
-        written_at: When it was written, seconds since 1970 by its host's clock.
-        process: The process that wrote it.
-        event: What it tells.
-        fields: What decided it.
+        written_at: Time of writing, seconds since 1970 on the host's clock.
+        process: Identifier of the process that wrote it.
+        event: Name of the event.
+        fields: Fields of the event, without the common ones.
     """
 
     written_at: float
@@ -40,17 +40,17 @@
 
     @property
     def request_id(self) -> str:
-        """The request that it is about, empty if about none."""
+        """Identifier of the request that the line concerns, empty for none."""
         return str(self.fields.get("request_id", ""))
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class RequestTrace:
-    """What the logs tell of a request.
+    """The log lines that concern a request.
 
     Attributes:
-        lines: Its own lines, and those around it, in the order of time.
-        routers: Names of the processes in these, where the logs hold their start.
+        lines: The request's own lines and their context, in order of time.
+        routers: Router names by process, where the logs include the process's start.
     """
 
     lines: tuple[LogLine, ...]
@@ -58,23 +58,23 @@
 
 
 def read_lines(*, source: Iterable[str]) -> list[LogLine]:
-    """Read log lines; texts that are none are passed over.
+    """Parse log lines, and skip text that is no log line.
 
-    A collector may have put a time or a host's name before each line.
+    The function ignores any prefix, such as a log collector's time or host name.
     """
     lines = (_parse(text) for text in source)
     return [line for line in lines if line is not None]
 
 
 def find_trace(*, lines: Iterable[LogLine], request_id: str) -> RequestTrace | None:
-    """Find what tells of a request, None if nothing does.
+    """Find the lines that concern a request, None if there are none.
 
-    Beside its own lines these are, of the same processes and about the same time, what
-    they learnt of its endpoints, and what is about no request or endpoint: the
-    platform, other routers, the configuration.
+    Besides the request's own lines the trace has their context: lines of the same
+    processes, from about the same time, on the request's endpoints or on no request
+    and no endpoint, such as the platform, other routers or the configuration.
     """
-    everything = sorted(lines, key=lambda line: line.written_at)
-    own = [line for line in everything if line.request_id == request_id]
+    by_time = sorted(lines, key=lambda line: line.written_at)
+    own = [line for line in by_time if line.request_id == request_id]
     if not own:
         return None
     processes = {line.process for line in own}
@@ -83,19 +83,19 @@
         own[0].written_at - CONTEXT_BEFORE_SECONDS,
         own[-1].written_at + CONTEXT_AFTER_SECONDS,
     )
-    around = [
+    context = [
         line
-        for line in everything
+        for line in by_time
         if line.process in processes
         and begin <= line.written_at <= end
         and not line.request_id
         and line.fields.get("endpoint") in endpoints | {None, ""}
     ]
     return RequestTrace(
-        lines=tuple(sorted([*own, *around], key=lambda line: line.written_at)),
+        lines=tuple(sorted([*own, *context], key=lambda line: line.written_at)),
         routers={
             line.process: str(line.fields["router"])
-            for line in everything
+            for line in by_time
             if line.event == "router_started" and "router" in line.fields
         },
     )
--- a/dotterelpaddle/logs.py
+++ b/dotterelpaddle/logs.py
@@ -1,4 +1,4 @@
-"""Structured logs: one JSON object a line, as eliot writes them."""
+"""Structured logs: one JSON object per line, in the format of eliot."""
 
 from __future__ import annotations
 
@@ -15,11 +15,11 @@
 
 
 LIBRARY_EVENT = "library_message"
-"""Event of the messages that libraries write by Python's own logging."""
+"""Event of the messages that libraries write through Python's `logging`."""
 
 
 class Level(IntEnum):
-    """How much a line matters."""
+    """Severity of a line."""
 
     DEBUG = 10
     INFO = 20
@@ -28,23 +28,23 @@
 
 
 class Sink(Protocol):
-    """Where lines go."""
+    """A destination of log lines."""
 
     def write(self, *, event: str, fields: dict[str, Any], keep: bool) -> None:
-        """Write a line; one that must be kept is left out at no rate."""
+        """Write a line; the sink must not drop one that has `keep` set."""
 
     def opened(self) -> AbstractContextManager[None]:
-        """Let lines be written while the context lasts."""
+        """Accept lines while the context lasts."""
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class _Target:
-    """Where lines go now.
+    """The current destination and its level.
 
     Attributes:
-        level: The lowest level that is written.
-        sink: Writes them, None to write nowhere.
-        opened: Closes the sink.
+        level: The lowest level that the process writes.
+        sink: Destination of the lines, None to discard them.
+        opened: Exit stack that closes the sink.
     """
 
     level: Level
@@ -53,7 +53,7 @@
 
 
 class _Output:
-    """The target of the whole process."""
+    """Holds the target of the whole process."""
 
     def __init__(self) -> None:
         self._target = _Target(level=Level.WARNING)
@@ -61,32 +61,32 @@
 
     @property
     def level(self) -> Level:
-        """The lowest level that is written."""
+        """The lowest level that the process writes."""
         return self._target.level
 
     def write(self, *, event: str, fields: dict[str, Any], keep: bool = False) -> None:
-        """Write a line, if lines go anywhere."""
+        """Write a line to the sink, if there is one."""
         if self._target.sink is not None:
             self._target.sink.write(event=event, fields=fields, keep=keep)
 
     def replace(self, *, target: _Target) -> _Target:
-        """Write to another target.
+        """Switch to another target.
 
         Returns:
-            The earlier one.
+            The previous target.
         """
-        earlier = self._target
-        earlier.opened.close()
+        previous = self._target
+        previous.opened.close()
         logging.getLogger().removeHandler(self._libraries)
         if target.sink is not None:
             target.opened.enter_context(target.sink.opened())
             logging.getLogger().addHandler(self._libraries)
         self._target = target
-        return earlier
+        return previous
 
 
 class _LibraryHandler(logging.Handler):
-    """Writes the messages of libraries, which use Python's own logging."""
+    """Writes messages of libraries that use Python's `logging`."""
 
     def emit(self, record: logging.LogRecord) -> None:
         """Write one message."""
@@ -114,29 +114,29 @@
         self._name = name
 
     def debug(self, event: str, **fields: Any) -> None:
-        """Write what only a developer needs."""
+        """Log an event that only developers need."""
         self._write(event, Level.DEBUG, fields)
 
     def info(self, event: str, *, keep: bool = False, **fields: Any) -> None:
-        """Write what an operator may want to follow, such as a decision.
+        """Log an event that an operator may want to follow, such as a decision.
 
         Args:
-            event: What it tells.
-            keep: Whether no storm of such lines may leave this one out.
-            fields: What decided it.
+            event: Name of the event.
+            keep: Whether the line bypasses the rate limit of its event.
+            fields: Fields of the event.
         """
         self._write(event, Level.INFO, fields, keep=keep)
 
     def warning(self, event: str, **fields: Any) -> None:
-        """Write what an operator should look at."""
+        """Log an event that an operator should examine."""
         self._write(event, Level.WARNING, fields)
 
     def error(self, event: str, **fields: Any) -> None:
-        """Write what needs an operator."""
+        """Log an event that an operator must act on."""
         self._write(event, Level.ERROR, fields)
 
     def enabled(self, *, level: Level) -> bool:
-        """Tell whether a level is written, before fields that cost time are made."""
+        """Return whether a level is active, to skip fields that are costly to build."""
         return level >= _output.level
 
     def _write(
@@ -144,19 +144,19 @@
     ) -> None:
         if not self.enabled(level=level):
             return
-        named = {"logger_name": self._name, "level": level.name, **fields}
-        _output.write(event=event, fields=named, keep=keep)
+        all_fields = {"logger_name": self._name, "level": level.name, **fields}
+        _output.write(event=event, fields=all_fields, keep=keep)
 
 
 def get_logger(*, name: str) -> Logger:
-    """Make the logger of a module."""
+    """Return a logger for a module."""
     return Logger(name=name)
 
 
 def write_logs(*, level: Level, stream: IO[str] | None = None) -> None:
     """Send log lines of a level and above to a stream, standard error by default.
 
-    A process has one such stream; a later call replaces the earlier one.
+    A process has one such stream; a later call replaces it.
     """
     _output.replace(
         target=_Target(level=level, sink=_eliot_sink(stream=stream or sys.stderr))
@@ -173,15 +173,15 @@
 @contextmanager
 def log_to_sink(*, level: Level, sink: Sink) -> Iterator[None]:
     """Send log lines to a sink while the context lasts."""
-    earlier = _output.replace(target=_Target(level=level, sink=sink))
+    previous = _output.replace(target=_Target(level=level, sink=sink))
     try:
         yield
     finally:
-        _output.replace(target=earlier)
+        _output.replace(target=previous)
 
 
 def _eliot_sink(*, stream: IO[str]) -> Sink:
-    # Routers on small hosts write lines without it, and have no room for it.
+    # Routers on small hosts don't use eliot, and lack the memory to import it.
     from dotterelpaddle.eliot_logs import EliotSink
 
     return EliotSink(stream=stream)
--- a/dotterelpaddle/metrics.py
+++ b/dotterelpaddle/metrics.py
@@ -1,6 +1,6 @@
-"""Metrics of one router, by aioprometheus.
+"""Metrics of one router, with aioprometheus.
 
-Each router has a registry of its own, so that several can run in one process.
+Each router has a separate registry, so that several can run in one process.
 """
 
 from __future__ import annotations
@@ -25,21 +25,21 @@
     4.096,
     16.384,
 )
-"""Upper bounds of latency buckets, seconds."""
+"""Upper bounds of the default latency buckets."""
 
 
 class Metrics:
-    """Makes metrics and renders them as Prometheus text."""
+    """Creates metrics and renders them as Prometheus text."""
 
     def __init__(self) -> None:
         self._registry = Registry()
 
     def counter(self, *, name: str, doc: str) -> Counter:
-        """Make a counter; `inc(labels)` and `add(labels, value)` raise it."""
+        """Create a counter; `inc(labels)` and `add(labels, value)` increase it."""
         return Counter(f"dotterelpaddle_{name}", doc, registry=self._registry)
 
     def gauge(self, *, name: str, doc: str) -> Gauge:
-        """Make a gauge; `set(labels, value)` changes it."""
+        """Create a gauge; `set(labels, value)` sets it."""
         return Gauge(f"dotterelpaddle_{name}", doc, registry=self._registry)
 
     def histogram(
@@ -49,12 +49,12 @@
         doc: str,
         buckets: tuple[float, ...] = LATENCY_BUCKETS_SECONDS,
     ) -> Histogram:
-        """Make a histogram; `observe(labels, value)` adds to it.
+        """Create a histogram; `observe(labels, value)` adds an observation.
 
         Args:
-            name: Its name without the project's prefix.
-            doc: What it measures, with the unit.
-            buckets: Upper bounds of all buckets but the last, which takes the rest.
+            name: Name without the project's prefix.
+            doc: What the histogram measures, with the unit.
+            buckets: Upper bounds of all buckets but the last, which is unbounded.
         """
         return Histogram(
             f"dotterelpaddle_{name}",
--- a/dotterelpaddle/network.py
+++ b/dotterelpaddle/network.py
@@ -1,7 +1,7 @@
-"""Outgoing TCP connections for httpcore that obey the process's links.
+"""Outgoing TCP connections for httpcore that simulate faults of the process's links.
 
-A cut link loses packets: connecting hangs until its timeout, and an open
-connection goes silent without an error until the link is healed.
+A cut link drops packets: a new connection hangs until its timeout, and an open
+connection stalls without an error until the link is restored.
 """
 
 from __future__ import annotations
@@ -22,15 +22,15 @@
     from dotterelpaddle.links import Links
 
 LINK_POLL_SECONDS = 0.02
-"""Seconds between looks at a link that is cut."""
+"""Interval at which a connection checks whether a cut link is restored."""
 
 
 class LinkedStream(httpcore.AsyncNetworkStream):
-    """A TCP connection whose packets vanish while its link is cut.
+    """A TCP connection that transfers nothing while its link is cut.
 
     Args:
-        stream: The connection itself.
-        peer: The other end.
+        stream: The underlying connection.
+        peer: Address of the peer.
         links: The process's links.
     """
 
@@ -48,16 +48,16 @@
 
     @property
     def read_extension(self) -> Callable[[], float] | None:
-        """Tells how many more seconds a read waits whose time is up, 0 for none."""
+        """Callback for a read that times out: seconds to wait longer, 0 to fail."""
         return self._read_extension
 
     @read_extension.setter
-    def read_extension(self, more_time: Callable[[], float] | None) -> None:
-        self._read_extension = more_time
+    def read_extension(self, callback: Callable[[], float] | None) -> None:
+        self._read_extension = callback
 
     @property
     def read_timeout(self) -> float | None:
-        """Seconds that a read waits where httpcore gives no timeout."""
+        """Seconds that a read waits if httpcore passes no timeout."""
         return self._read_timeout
 
     @read_timeout.setter
@@ -66,21 +66,21 @@
 
     @property
     def bytes_written(self) -> int:
-        """Bytes that were given to the connection so far."""
+        """Bytes that the caller has written so far."""
         return self._bytes_written
 
     @property
     def bytes_received(self) -> int:
-        """Bytes that came from the other end so far."""
+        """Bytes received from the peer so far."""
         return self._bytes_received
 
     @property
     def has_unsent_bytes(self) -> bool:
-        """Whether bytes that were written have not left yet."""
+        """Whether some written bytes have not been sent yet."""
         return bool(self._blocked or self._stream.get_extra_info("unsent"))
 
     async def read(self, max_bytes: int, timeout: float | None = None) -> bytes:
-        """Read some bytes, empty at the end."""
+        """Read some bytes; empty at the end of the stream."""
         if timeout is None:
             timeout = self._read_timeout
         if self._blocked:
@@ -105,13 +105,13 @@
                     raise
 
     async def write(self, buffer: bytes, timeout: float | None = None) -> None:
-        """Write all bytes; while the link is cut they wait for it unseen."""
+        """Write all bytes; while the link is cut, keep them without an error."""
         self._bytes_written += len(buffer)
         if self._links.has_faults and not self._links.is_open(peer=self._peer):
             self._blocked += buffer
             return
-        held, self._blocked = self._blocked, b""
-        await self._stream.write(held + buffer, timeout)
+        blocked, self._blocked = self._blocked, b""
+        await self._stream.write(blocked + buffer, timeout)
 
     async def aclose(self) -> None:
         """Close the connection."""
@@ -128,13 +128,13 @@
         return LinkedStream(stream=stream, peer=self._peer, links=self._links)
 
     def get_extra_info(self, info: str) -> Any:
-        """Look up what httpcore asks of a connection."""
+        """Return a property of the connection for httpcore."""
         return self._stream.get_extra_info(info)
 
     async def _send_blocked(self, *, timeout: float | None) -> None:
         await self._wait_for_link(timeout=timeout, error=httpcore.ReadTimeout)
-        held, self._blocked = self._blocked, b""
-        await self._stream.write(held, timeout)
+        blocked, self._blocked = self._blocked, b""
+        await self._stream.write(blocked, timeout)
 
     async def _wait_for_link(
         self, *, timeout: float | None, error: type[httpcore.TimeoutException]
@@ -166,8 +166,8 @@
         """Open a connection.
 
         Raises:
-            httpcore.ConnectError: If the other end refuses.
-            httpcore.ConnectTimeout: If no answer came in time.
+            httpcore.ConnectError: If the peer refuses the connection.
+            httpcore.ConnectTimeout: If the peer does not answer in time.
         """
         peer = Address(host=host, port=port)
         await wait_for_link(
@@ -182,7 +182,7 @@
         return LinkedStream(stream=stream, peer=peer, links=self._links)
 
     async def sleep(self, seconds: float) -> None:
-        """Wait, for httpcore's own retries."""
+        """Sleep between httpcore's own retries."""
         await anyio.sleep(seconds)
 
 
@@ -193,16 +193,16 @@
     timeout: float | None,
     error: type[httpcore.TimeoutException],
 ) -> None:
-    """Return once packets to a peer pass.
+    """Wait until packets to a peer pass.
 
     Raises:
-        httpcore.TimeoutException: Of the given type, after the timeout.
+        httpcore.TimeoutException: The given type, after the timeout.
     """
     if links.is_open(peer=peer):
         return
-    patience = math.inf if timeout is None else timeout
-    with anyio.move_on_after(patience):
+    wait_seconds = math.inf if timeout is None else timeout
+    with anyio.move_on_after(wait_seconds):
         while not links.is_open(peer=peer):
             await anyio.sleep(LINK_POLL_SECONDS)
         return
-    raise error(f"no packets pass to {peer}")
+    raise error(f"the link to {peer} is cut")
--- a/dotterelpaddle/pipeline.py
+++ b/dotterelpaddle/pipeline.py
@@ -1,7 +1,7 @@
-"""The pipeline of filters that a caller's request passes.
+"""The filter pipeline that processes a caller's request.
 
-A filter is an async callable that gets the exchange and the rest of the
-pipeline. It may act before, after or instead of the rest.
+A filter is an async callable that receives the exchange and the rest of the
+pipeline. It can act before the rest, after it or in its place.
 """
 
 from __future__ import annotations
@@ -19,7 +19,7 @@
 
 
 class Outcome(Enum):
-    """How a request ended, as told to its caller."""
+    """How a request ended, as reported to its caller."""
 
     COMPLETED = "completed"
     NOT_RUN = "not_run"
@@ -32,10 +32,10 @@
 
     Attributes:
         method: HTTP method.
-        path: Path without the query.
+        path: Path without the query string.
         query: Query string without the question mark.
         headers: Headers with lower-case names.
-        body: Whole body.
+        body: Complete body.
     """
 
     method: str
@@ -47,13 +47,13 @@
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class ChatWork:
-    """A chat request for a model engine.
+    """A chat request to a model engine.
 
     Attributes:
-        service: The model name that the caller uses.
-        content: The caller's body.
-        stream: Whether the caller wants a stream of events.
-        chat_id: The caller's name of the chat, empty for none.
+        service: The model name in the request.
+        content: The decoded body.
+        stream: Whether the caller requests a stream of events.
+        chat_id: The caller's identifier of the chat, empty for none.
     """
 
     service: ServiceName
@@ -64,11 +64,11 @@
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class ServiceWork:
-    """A request for a plain service.
+    """A request to a plain HTTP service.
 
     Attributes:
-        service: The service's name.
-        path: Path at the service, with query.
+        service: Name of the service.
+        path: Path at the service, with the query string.
     """
 
     service: ServiceName
@@ -76,15 +76,15 @@
 
 
 Work = ChatWork | ServiceWork
-"""What a caller wants to have done."""
+"""The kinds of requests that callers send."""
 
 
 class CallerReply(Protocol):
-    """The way back to the caller.
+    """Sends the response to the caller.
 
-    Either `whole` is called once, or `start` once, then `write` any number of
-    times, then `finish`. Each waits while the caller is slow, so memory stays
-    bounded.
+    The router calls either `send_buffered` once, or `start` once, then `write` any
+    number of times, then `finish`. Each call waits while the caller reads slowly,
+    which bounds memory.
     """
 
     @property
@@ -94,7 +94,7 @@
     async def send_buffered(
         self, *, status: int, headers: Mapping[str, str], body: bytes
     ) -> None:
-        """Send a whole answer at once."""
+        """Send a complete response."""
 
     async def start(self, *, status: int, headers: Mapping[str, str]) -> None:
         """Send the status line and headers."""
@@ -103,31 +103,31 @@
         """Send part of the body."""
 
     async def finish(self) -> None:
-        """End the body in the regular way."""
+        """Complete the body."""
 
 
 @dataclass(kw_only=True)
 class Exchange:
-    """One caller's request on its way through the pipeline.
+    """One caller's request and its state in the pipeline.
 
     Attributes:
-        request_id: Name of the request.
+        request_id: Identifier of the request.
         request: The request as it arrived.
-        reply: The way back to the caller.
-        received_at: When it arrived, seconds on the monotonic clock.
+        reply: Sends the response to the caller.
+        received_at: Time of arrival, seconds on the monotonic clock.
         deadline: When the caller stops waiting, seconds on the monotonic clock.
-        attempts: Evidence of the attempts to serve it.
-        work: What the caller wants, once read.
-        account: Its client account, once authenticated.
-        route: Its route, once found.
-        pool: Its pool, once found.
-        affinity: Digest of the chat's context, None where nothing is cached.
+        attempts: Log of the attempts to serve it.
+        work: The decoded request, None until a filter decodes it.
+        account: Its client account, None until authentication.
+        route: Its route, None until routing.
+        pool: Its pool, None until routing.
+        affinity: Digest of the chat's context, None if no endpoint caches it.
         prompt_tokens: Estimated length of the prompt.
         answer_tokens: Estimated or requested length of the answer.
-        idempotency_key: Key of the caller for requests that run at most once.
+        idempotency_key: The caller's key for a request that runs at most once.
         idempotent: Whether it may run more than once.
-        outcome: How it ended, where that does not follow from the attempts.
-        error: What the caller was told in place of an answer.
+        outcome: How it ended, if that does not follow from the attempts.
+        error: The error that the caller got in place of an answer.
     """
 
     request_id: RequestId
@@ -157,7 +157,7 @@
 
 
 ExchangeT = TypeVar("ExchangeT")
-"""The exchange of a pipeline."""
+"""Type of the exchange that a pipeline processes."""
 
 
 def compose(
@@ -167,7 +167,7 @@
         ...,
     ],
 ) -> Callable[[ExchangeT], Awaitable[None]]:
-    """Join filters into one callable; the last filter must not call the rest."""
+    """Compose filters into one callable; the last one must not call the rest."""
 
     async def _end(exchange: ExchangeT) -> None:
         raise AssertionError("the last filter of a pipeline called the rest")
--- a/dotterelpaddle/tests/conftest.py
+++ b/dotterelpaddle/tests/conftest.py
@@ -1,4 +1,4 @@
-"""Set-up shared by all tests."""
+"""Configuration and fixtures shared by all tests."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
     deadline=None,
     database=None,
     max_examples=50,
-    # How fast a machine is must not decide a verdict.
+    # The result of a test must not depend on the speed of the machine.
     suppress_health_check=(HealthCheck.too_slow,),
 )
 settings.load_profile("dotterelpaddle")
@@ -27,12 +27,12 @@
 
 @dataclass(frozen=True, kw_only=True)
 class KnownRed:
-    """A test that may fail for a fault that is known and filed.
+    """A test that may fail because of a known fault with an issue.
 
     Attributes:
         test: Node id of the test, as pytest prints it.
         cause: Why it fails.
-        issue: Where the fault is filed.
+        issue: The issue that tracks the fault.
     """
 
     test: str
@@ -69,7 +69,7 @@
     return KnownRed(test=parts[0], cause=parts[1], issue=parts[2])
 
 
-def _listed() -> tuple[KnownRed, ...]:
+def _known_red() -> tuple[KnownRed, ...]:
     if not KNOWN_RED_FILE.exists():
         return ()
     return read_known_red(text=KNOWN_RED_FILE.read_text())
@@ -80,7 +80,7 @@
 ) -> None:
     """Let the listed tests fail, and only these."""
     by_id = {item.nodeid: item for item in items}
-    for entry in _listed():
+    for entry in _known_red():
         item = by_id.get(entry.test)
         if item is None:
             continue
@@ -89,13 +89,13 @@
 
 
 def pytest_collection_finish() -> None:
-    """Keep what was imported out of garbage collections, which stop all tasks."""
+    """Exclude imported objects from garbage collection, whose pauses stop all tasks."""
     gc.freeze()
 
 
 def pytest_terminal_summary(terminalreporter: pytest.TerminalReporter) -> None:
     """Print the tests that may fail, with cause and issue."""
-    for entry in _listed():
+    for entry in _known_red():
         terminalreporter.write_line(
             f"KNOWN RED {entry.test}: {entry.cause} ({entry.issue})"
         )
@@ -103,5 +103,5 @@
 
 @pytest.fixture
 def anyio_backend() -> str:
-    """Run asynchronous tests on asyncio, as the daemons do."""
+    """Run asynchronous tests on asyncio, like the daemons."""
     return "asyncio"
--- a/dotterelpaddle/tests/memory_network.py
+++ b/dotterelpaddle/tests/memory_network.py
@@ -1,4 +1,4 @@
-"""Connections between routers and endpoints in memory, for tests in virtual time."""
+"""In-memory connections between routers and endpoints, for tests in virtual time."""
 
 from __future__ import annotations
 
@@ -25,13 +25,13 @@
     Handler = Callable[[Any], Awaitable[None]]
 
 ANY_PEER = Address(host="10.0.0.0", port=1)
-"""Stands for an endpoint where links are never cut."""
+"""Placeholder address of the peer; tests never cut its link."""
 
 MIN_WAIT_SECONDS = 1e-6
-"""Least seconds that a wait takes; less may leave a virtual clock as it is."""
+"""Minimum duration of a wait; a shorter one may not advance a virtual clock."""
 
 CONNECT_SECONDS = 0.001
-"""Seconds until a connection stands, or is refused."""
+"""Time until a connection is established or refused."""
 
 
 class _End:
@@ -48,10 +48,10 @@
 
 
 class ClientEnd(_End, httpcore.AsyncNetworkStream):
-    """A router's end of a connection."""
+    """The router's end of a connection."""
 
     async def read(self, max_bytes: int, timeout: float | None = None) -> bytes:
-        """Read what has come, empty at the end."""
+        """Read received bytes; empty at the end of the stream."""
         if timeout is not None:
             timeout = max(timeout, MIN_WAIT_SECONDS)
         try:
@@ -75,15 +75,17 @@
         await self._incoming.aclose()
 
     def get_extra_info(self, info: str) -> Any:
-        """Tell whether bytes or the end have come."""
+        """Return whether bytes or the end of the stream have arrived."""
         if info == "is_readable":
-            told = self._incoming.statistics()
-            return told.current_buffer_used > 0 or told.open_send_streams == 0
+            statistics = self._incoming.statistics()
+            return (
+                statistics.current_buffer_used > 0 or statistics.open_send_streams == 0
+            )
         return None
 
 
 class ServerEnd(_End):
-    """An endpoint's end of a connection, as `RunnerStandin` uses it."""
+    """The endpoint's end of a connection, as `RunnerStandin` uses it."""
 
     async def __aenter__(self) -> ServerEnd:
         return self
@@ -92,10 +94,10 @@
         self.close()
 
     async def receive(self, max_bytes: int = 65536) -> bytes:
-        """Read what has come.
+        """Read received bytes.
 
         Raises:
-            anyio.EndOfStream: At the end.
+            anyio.EndOfStream: At the end of the stream.
         """
         return await self._incoming.receive()
 
@@ -113,7 +115,7 @@
 
 
 class MemoryNetwork:
-    """Where endpoints listen, and the connections to them."""
+    """Listening endpoints and the connections to them."""
 
     def __init__(self) -> None:
         self._handlers: dict[tuple[str, int], Handler] = {}
@@ -123,14 +125,14 @@
         self.tasks: TaskGroup
 
     def listen(self, *, address: Address, handler: Handler) -> None:
-        """Let connections to an address be served."""
+        """Serve connections to an address with a handler."""
         self._handlers[address.host, address.port] = handler
 
     def end(self, *, address: Address) -> None:
-        """Close all connections to an address, and refuse others."""
-        place = address.host, address.port
-        self._handlers.pop(place, None)
-        for scope, stream in self._open.pop(place, []):
+        """Close all connections to an address, and refuse new ones."""
+        address_key = address.host, address.port
+        self._handlers.pop(address_key, None)
+        for scope, stream in self._open.pop(address_key, []):
             stream.close()
             scope.cancel()
 
@@ -138,7 +140,7 @@
         """Open a connection.
 
         Raises:
-            httpcore.ConnectError: If nobody listens there.
+            httpcore.ConnectError: If no endpoint listens at the address.
         """
         await anyio.sleep(CONNECT_SECONDS)
         handler = self._handlers.get((host, port))
@@ -167,7 +169,7 @@
 
     @contextmanager
     def installed(self) -> Iterator[None]:
-        """Let all routers of this process connect over it."""
+        """Route all connections of this process's routers over this network."""
 
         async def _connect(
             _: LinkedBackend,
--- a/dotterelpaddle/tests/test_docs.py
+++ b/dotterelpaddle/tests/test_docs.py
@@ -1,4 +1,4 @@
-"""The documentation: links resolve, and the commands it shows exist."""
+"""Checks that the documentation matches the code and that its links resolve."""
 
 from __future__ import annotations
 
@@ -40,18 +40,18 @@
     return str(path.relative_to(ROOT))
 
 
-def _prose(path: Path) -> str:
+def _text_without_fences(path: Path) -> str:
     return FENCE.sub("", path.read_text())
 
 
 def _anchors(path: Path) -> set[str]:
-    headings = HEADING.findall(_prose(path))
+    headings = HEADING.findall(_text_without_fences(path))
     return {re.sub(r"[^\w -]", "", each).lower().replace(" ", "-") for each in headings}
 
 
 @pytest.mark.parametrize("page", PAGES, ids=_name)
 def test_links_resolve(page: Path) -> None:
-    for link in LINK.findall(_prose(page)):
+    for link in LINK.findall(_text_without_fences(page)):
         if "://" in link:
             continue
         target, _, anchor = link.partition("#")
@@ -68,7 +68,7 @@
     for line in shown:
         for tokens in _split(line):
             _check_command(tokens, complete=True)
-    for line in INLINE.findall(_prose(page)):
+    for line in INLINE.findall(_text_without_fences(page)):
         _check_command(shlex.split(line), complete=False)
 
 
@@ -104,8 +104,8 @@
 
 
 @pytest.mark.parametrize("page", PAGES, ids=_name)
-def test_modules_that_are_named_exist(page: Path) -> None:
-    for name in MODULE.findall(_prose(page)):
+def test_named_modules_exist(page: Path) -> None:
+    for name in MODULE.findall(_text_without_fences(page)):
         places = (ROOT / name, ROOT / "dotterelpaddle" / name)
         assert any(place.exists() for place in places), f"there is no {name}"
 
@@ -125,7 +125,7 @@
             assert (package / name / file).exists(), f"there is no {name}/{file}"
 
 
-def test_architecture_lists_the_modules_that_all_packages_share() -> None:
+def test_architecture_lists_the_shared_modules() -> None:
     page = (DOCS / "dev-guide" / "architecture.md").read_text()
 
     (row,) = re.findall(r"^\| (.*) \| What all packages share", page, re.MULTILINE)
@@ -134,7 +134,7 @@
     assert set(re.findall(r"`(\w+)`", row)) == modules
 
 
-def test_scenarios_that_are_named_exist() -> None:
+def test_named_scenarios_exist() -> None:
     page = (DOCS / "user-guide" / "running.md").read_text()
 
     named = re.findall(r"\| `(\w+)` \|$", page, re.MULTILINE)
@@ -164,14 +164,14 @@
 
 
 def _sources() -> Iterator[ast.AST]:
-    """Walk the syntax of the package, tests left out."""
+    """Yield the syntax nodes of the package without its tests."""
     for path in sorted((ROOT / "dotterelpaddle").rglob("*.py")):
         if "tests" not in path.parts:
             yield from ast.walk(ast.parse(path.read_text()))
 
 
 def _events() -> set[str]:
-    """Find the events that are logged by name above the debug level."""
+    """Return the events that the package logs above the debug level."""
     events = set()
     for node in _sources():
         match node:
@@ -186,7 +186,7 @@
 
 
 def _metrics() -> set[str]:
-    """Find the metrics that are made by name."""
+    """Return the names of the metrics that the package creates."""
     metrics = set()
     for node in _sources():
         match node:
@@ -198,29 +198,29 @@
     return metrics
 
 
-def _named(page: Path) -> set[str]:
-    """Find the names in the first column of a page's tables."""
+def _first_column_names(page: Path) -> set[str]:
+    """Return the names in the first column of a page's tables."""
     cells = re.findall(r"^\| (`[^|]*) \|", page.read_text(), re.MULTILINE)
     return {name for cell in cells for name in re.findall(r"`([^`]+)`", cell)}
 
 
-def test_each_event_of_the_log_is_described() -> None:
-    assert _events() - _named(DOCS / "user-guide" / "logs.md") == set()
+def test_each_log_event_is_described() -> None:
+    assert _events() - _first_column_names(DOCS / "user-guide" / "logs.md") == set()
 
 
-def test_the_metrics_that_are_described_are_those_there_are() -> None:
-    assert _named(DOCS / "user-guide" / "metrics.md") == _metrics()
+def test_described_metrics_match_the_code() -> None:
+    assert _first_column_names(DOCS / "user-guide" / "metrics.md") == _metrics()
 
 
 def _subclasses(error: type[RequestError]) -> Iterator[type[RequestError]]:
-    """Find the errors of the exception tree that a caller can be told."""
+    """Yield the errors in the exception hierarchy that a caller can receive."""
     if error.__module__ == RequestError.__module__:
         yield error
     for each in error.__subclasses__():
         yield from _subclasses(each)
 
 
-def test_each_error_of_callers_is_described_with_its_status() -> None:
+def test_each_caller_error_is_described_with_its_status() -> None:
     page = (DOCS / "user-guide" / "calling.md").read_text()
     described = re.findall(r"^\| (\d{3}) \| `(\w+)` \|", page, re.MULTILINE)
 
--- a/dotterelpaddle/tests/test_line_logs.py
+++ b/dotterelpaddle/tests/test_line_logs.py
@@ -1,4 +1,4 @@
-"""Lines of a router on a small host: bounded, and never waited for."""
+"""`LineSink` bounds its lines and never blocks the caller."""
 
 from __future__ import annotations
 
@@ -25,11 +25,11 @@
 log = get_logger(name=__name__)
 
 PIPE_BYTES = 1 << 20
-"""Bytes that no pipe holds unread."""
+"""More bytes than a pipe buffers."""
 
 
 class PipeSink:
-    """A sink at one end of a pipe, and a clock that tests turn."""
+    """A sink that writes to a pipe, with a clock that tests set."""
 
     def __init__(self) -> None:
         self.now = 0.0
@@ -44,17 +44,17 @@
 
 
 @contextmanager
-def _world() -> Iterator[PipeSink]:
-    world = PipeSink()
-    with log_to_sink(level=Level.INFO, sink=world.sink):
-        yield world
+def _pipe_sink() -> Iterator[PipeSink]:
+    pipe = PipeSink()
+    with log_to_sink(level=Level.INFO, sink=pipe.sink):
+        yield pipe
 
 
-def test_line_has_the_form_of_eliot() -> None:
-    with _world() as world:
+def test_line_has_the_format_of_eliot() -> None:
+    with _pipe_sink() as pipe:
         log.info("placed", endpoint="engine-1")
 
-    (line,) = world.read()
+    (line,) = pipe.read()
     assert line["message_type"] == "placed"
     assert line["endpoint"] == "engine-1"
     assert line["logger_name"] == __name__
@@ -63,62 +63,62 @@
     assert {"task_uuid", "timestamp"} <= line.keys()
 
 
-def test_reader_that_stands_still_makes_nobody_wait() -> None:
+def test_stalled_reader_blocks_no_caller() -> None:
     text = "x" * 1000
-    with _world() as world:
-        # Nobody reads: a write that waited would never return.
+    with _pipe_sink() as pipe:
+        # The test does not read, so a write that blocked would never return.
         for number in range(PIPE_BYTES // len(text)):
             log.info("placed", keep=True, number=number, text=text)
-        os.set_blocking(world.reader, False)
+        os.set_blocking(pipe.reader, False)
 
-    seen = os.read(world.reader, PIPE_BYTES)
-    assert 0 < len(seen) < PIPE_BYTES
+    received = os.read(pipe.reader, PIPE_BYTES)
+    assert 0 < len(received) < PIPE_BYTES
 
 
-def test_storm_of_one_event_leaves_the_others_readable() -> None:
-    with _world() as world:
+def test_flood_of_one_event_does_not_drop_the_others() -> None:
+    with _pipe_sink() as pipe:
         for number in range(3 * int(EVENT_BURST_LINES)):
             log.info("placed", number=number)
         log.info("platform_regained")
 
-    lines = world.read()
-    told = [line["message_type"] for line in lines]
-    assert told.count("placed") == EVENT_BURST_LINES
-    assert told[-2:] == [LINES_DROPPED_EVENT, "platform_regained"]
+    lines = pipe.read()
+    events = [line["message_type"] for line in lines]
+    assert events.count("placed") == EVENT_BURST_LINES
+    assert events[-2:] == [LINES_DROPPED_EVENT, "platform_regained"]
     assert lines[-2]["events"] == {"placed": 2 * EVENT_BURST_LINES}
 
 
-def test_allowance_of_an_event_comes_back() -> None:
-    with _world() as world:
+def test_rate_limit_of_an_event_refills() -> None:
+    with _pipe_sink() as pipe:
         for _ in range(2 * int(EVENT_BURST_LINES)):
             log.info("placed")
-        world.now = 1.0
+        pipe.now = 1.0
         for _ in range(2 * int(EVENT_LINES_PER_SECOND)):
             log.info("placed")
 
-    told = [line["message_type"] for line in world.read()]
-    assert told.count("placed") == EVENT_BURST_LINES + EVENT_LINES_PER_SECOND
+    events = [line["message_type"] for line in pipe.read()]
+    assert events.count("placed") == EVENT_BURST_LINES + EVENT_LINES_PER_SECOND
 
 
-def test_line_that_must_be_kept_is_left_out_at_no_rate() -> None:
-    with _world() as world:
+def test_kept_line_bypasses_the_rate_limit() -> None:
+    with _pipe_sink() as pipe:
         for _ in range(3 * int(EVENT_BURST_LINES)):
             log.info("request_ended", keep=True)
 
-    assert len(world.read()) == 3 * EVENT_BURST_LINES
+    assert len(pipe.read()) == 3 * EVENT_BURST_LINES
 
 
-def test_lines_that_wait_are_bounded(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_queue_is_bounded(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(line_logs, "MAX_QUEUED_BYTES", 1000)
-    world = PipeSink()
+    pipe = PipeSink()
     for _ in range(100):
-        world.sink.write(event="placed", fields={}, keep=True)
-    with world.sink.opened():
+        pipe.sink.write(event="placed", fields={}, keep=True)
+    with pipe.sink.opened():
         pass
-    with world.sink.opened():
-        world.sink.write(event="placed", fields={}, keep=True)
+    with pipe.sink.opened():
+        pipe.sink.write(event="placed", fields={}, keep=True)
 
-    lines = world.read()
+    lines = pipe.read()
     assert 0 < len(lines) < 20
     (left_out,) = [
         line for line in lines if line["message_type"] == LINES_DROPPED_EVENT
@@ -126,10 +126,10 @@
     assert left_out["events"]["placed"] > 80
 
 
-def test_reader_that_is_gone_ends_nothing() -> None:
-    world = PipeSink()
-    os.close(world.reader)
-    with world.sink.opened():
-        world.sink.write(event="placed", fields={}, keep=True)
-    world.sink.write(event="placed", fields={}, keep=True)
-    os.close(world.writer)
+def test_closed_reader_raises_no_error() -> None:
+    pipe = PipeSink()
+    os.close(pipe.reader)
+    with pipe.sink.opened():
+        pipe.sink.write(event="placed", fields={}, keep=True)
+    pipe.sink.write(event="placed", fields={}, keep=True)
+    os.close(pipe.writer)
--- a/dotterelpaddle/tests/test_logs.py
+++ b/dotterelpaddle/tests/test_logs.py
@@ -14,16 +14,16 @@
 
 
 def _lines(stream: io.StringIO) -> list[dict[str, object]]:
-    """Read the lines of this module.
+    """Parse the lines of this module.
 
-    eliot keeps what other tests logged while there was no stream, and writes it
-    to the first one.
+    eliot buffers what other tests log without a stream, and writes it to the
+    first stream.
     """
     lines = (orjson.loads(line) for line in stream.getvalue().splitlines())
     return [line for line in lines if line["logger_name"] in (__name__, LIBRARY)]
 
 
-def test_lines_under_the_level_are_left_out() -> None:
+def test_lines_below_the_level_are_dropped() -> None:
     stream = io.StringIO()
     with redirect_logs(level=Level.WARNING, stream=stream):
         log.info("small")
@@ -50,7 +50,7 @@
     assert _lines(inner) == []
 
 
-def test_messages_of_libraries_are_lines_of_the_same_log() -> None:
+def test_library_messages_go_to_the_same_log() -> None:
     stream = io.StringIO()
     library = logging.getLogger(LIBRARY)
     with redirect_logs(level=Level.ERROR, stream=stream):
--- a/dotterelpaddle/tests/test_style.py
+++ b/dotterelpaddle/tests/test_style.py
@@ -1,4 +1,4 @@
-"""Checks of the source text that the linter has no rule for."""
+"""Source checks that the linter has no rule for."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 ROOT = Path(__file__).parents[2]
 
 MAX_MODULE_LINES = 400
-"""Lines of a module, at most."""
+"""Maximum lines of a module."""
 
 OVERSIZED_MODULES = {
     "bench/membership.py": 570,
@@ -17,9 +17,9 @@
     "dotterelpaddle/placement/owner.py": 680,
     "dotterelpaddle/placement/service.py": 590,
 }
-"""Modules that are too long already, with the lines that they may not exceed.
+"""Modules over the limit, with the lines that they must not exceed.
 
-Split these first. No module is added here, and no number is raised.
+Split these first. Add no module here, and raise no number.
 """
 
 SOURCES = sorted(
@@ -30,14 +30,14 @@
 
 
 @pytest.mark.parametrize("path", SOURCES, ids=str)
-def test_modules_stay_small(path: Path) -> None:
+def test_modules_stay_within_the_line_limit(path: Path) -> None:
     lines = (ROOT / path).read_text().count("\n")
 
     limit = OVERSIZED_MODULES.get(str(path), MAX_MODULE_LINES)
     assert lines <= limit, f"{path} has {lines} lines; split it"
 
 
-def test_modules_that_were_split_are_not_listed_any_more() -> None:
+def test_oversized_modules_are_still_oversized() -> None:
     assert [
         name
         for name in OVERSIZED_MODULES
--- a/dotterelpaddle/tests/virtual_time.py
+++ b/dotterelpaddle/tests/virtual_time.py
@@ -1,7 +1,7 @@
-"""An event loop in which waiting takes no time.
+"""An event loop on a virtual clock.
 
-The clock jumps to the next timer as soon as nothing is left to do, so that seconds of
-a fleet's life pass as fast as its work can be done, and in the same order each time.
+The clock advances to the next timer as soon as no task can run. A simulated fleet
+thus runs as fast as the processor allows, and in the same order each time.
 """
 
 from __future__ import annotations
@@ -16,18 +16,18 @@
     from collections.abc import Awaitable, Callable
 
 
-class _JumpingSelector(selectors.DefaultSelector):  # type: ignore[misc, valid-type]
-    """Advances a clock where others would wait for sockets."""
+class _VirtualTimeSelector(selectors.DefaultSelector):  # type: ignore[misc, valid-type]
+    """Advances the virtual clock where a real selector would wait for sockets."""
 
     def __init__(self) -> None:
         super().__init__()
         self.now = 0.0
 
     def select(self, timeout: float | None = None) -> Any:
-        """Let the clock jump; nothing of a test waits for a socket.
+        """Advance the clock by the timeout; no test waits for a socket.
 
         Raises:
-            RuntimeError: If no timer is set either.
+            RuntimeError: If no timer is set, so the tasks are deadlocked.
         """
         if timeout is None:
             raise RuntimeError("all tasks wait for each other")
@@ -36,17 +36,17 @@
 
 
 class _VirtualLoop(asyncio.SelectorEventLoop):
-    """An event loop with a clock of its own."""
+    """An event loop that takes its time from the virtual clock."""
 
     def __init__(self) -> None:
-        self._clock = _JumpingSelector()
+        self._clock = _VirtualTimeSelector()
         super().__init__(self._clock)
 
     def time(self) -> float:
-        """Seconds on the loop's clock."""
+        """Return seconds on the virtual clock."""
         return self._clock.now
 
 
 def run_in_virtual_time(main: Callable[[], Awaitable[Any]]) -> Any:
-    """Run a coroutine function until it returns, without ever waiting."""
+    """Run a coroutine function to completion in virtual time."""
     return anyio.run(main, backend_options={"loop_factory": _VirtualLoop})
--- a/dotterelpaddle/transport.py
+++ b/dotterelpaddle/transport.py
@@ -1,10 +1,10 @@
-"""TCP connections for httpcore, straight on asyncio's transports.
+"""TCP connections for httpcore, directly on asyncio transports.
 
-anyio's socket stream pauses and resumes its transport around each read, and a
-cancel scope guards each timeout: at one read a token that is a third of what
-relaying costs. Here the transport runs on, up to a bounded buffer, and a timer
-guards a read. All else of the project is built on anyio, which these
-connections work with: they can be cancelled at each wait.
+anyio's socket stream pauses and resumes its transport around each read, and
+enters a cancel scope for each timeout. At one read per token that is a third of
+the cost of relaying. Here the transport keeps reading into a bounded buffer, and
+a timer enforces the timeout of a read. The rest of the project uses anyio; these
+connections are compatible with it, since each wait can be cancelled.
 """
 
 from __future__ import annotations
@@ -21,11 +21,11 @@
     from collections.abc import Iterable
 
 MAX_BUFFERED_BYTES = 256 * 1024
-"""Received bytes above which nothing more is read from the socket."""
+"""Size of the receive buffer above which the transport stops reading."""
 
 
 class _Protocol(asyncio.Protocol):
-    """Gathers what comes in and wakes the one who waits for it."""
+    """Buffers received data and wakes the waiting reader or writer."""
 
     def __init__(self) -> None:
         self.transport: asyncio.Transport
@@ -81,12 +81,12 @@
         self._writer = None
 
     def take_data(self) -> bytes:
-        """Return all that has come in."""
-        parts, self._chunks, self._buffered_bytes = self._chunks, [], 0
+        """Return and clear the buffered data."""
+        chunks, self._chunks, self._buffered_bytes = self._chunks, [], 0
         if self._paused:
             self._paused = False
             self.transport.resume_reading()
-        return parts[0] if len(parts) == 1 else b"".join(parts)
+        return chunks[0] if len(chunks) == 1 else b"".join(chunks)
 
     async def wait_for_data(self, *, timeout: float | None) -> None:
         loop = asyncio.get_running_loop()
@@ -101,10 +101,10 @@
             self._deadline = math.inf
 
     def _set_timer(self, loop: asyncio.AbstractEventLoop) -> None:
-        """Look at the deadline no later than it passes.
+        """Ensure that the timer fires no later than the deadline.
 
-        One timer serves many reads: it is set anew when it has run out, not at each
-        piece of an answer.
+        One timer serves many reads: the protocol sets it again after it fires, not
+        for each chunk of an answer.
         """
         if self._timer is not None:
             if self._timer.when() <= self._deadline:
@@ -130,14 +130,14 @@
     """One TCP connection.
 
     Args:
-        protocol: The connection's protocol, already connected.
+        protocol: Protocol of an established connection.
     """
 
     def __init__(self, *, protocol: _Protocol) -> None:
         self._protocol = protocol
 
     async def read(self, max_bytes: int, timeout: float | None = None) -> bytes:
-        """Read all that has come in, or wait for some; empty at the end."""
+        """Return buffered data, or wait for some; empty at the end of the stream."""
         protocol = self._protocol
         if not protocol.has_data and not protocol.closed:
             await protocol.wait_for_data(timeout=timeout)
@@ -148,7 +148,7 @@
         return b""
 
     async def write(self, buffer: bytes, timeout: float | None = None) -> None:
-        """Write all bytes; waits while the other end is slow."""
+        """Write all bytes; wait while the peer reads slowly."""
         protocol = self._protocol
         if protocol.closed or protocol.transport.is_closing():
             raise httpcore.WriteError("the connection is closed")
@@ -158,10 +158,10 @@
         with anyio.move_on_after(timeout) as scope:
             await protocol.wait_until_writable()
         if scope.cancelled_caught:
-            raise httpcore.WriteTimeout("the other end reads nothing")
+            raise httpcore.WriteTimeout("the peer does not read")
 
     async def aclose(self) -> None:
-        """Close at once; what is unsent is dropped."""
+        """Close immediately, and discard unsent data."""
         self._protocol.transport.abort()
 
     async def start_tls(
@@ -216,8 +216,8 @@
         """Open a connection.
 
         Raises:
-            httpcore.ConnectError: If the other end refuses.
-            httpcore.ConnectTimeout: If no answer came in time.
+            httpcore.ConnectError: If the peer refuses the connection.
+            httpcore.ConnectTimeout: If the peer does not answer in time.
         """
         loop = asyncio.get_running_loop()
         local = (local_address, 0) if local_address else None
@@ -232,7 +232,7 @@
         raise httpcore.ConnectTimeout(f"{host}:{port} did not answer in time")
 
     async def sleep(self, seconds: float) -> None:
-        """Wait, for httpcore's own retries."""
+        """Sleep between httpcore's own retries."""
         await anyio.sleep(seconds)
 
 
@@ -243,4 +243,4 @@
 
 def _expire(waiter: asyncio.Future[None]) -> None:
     if not waiter.done():
-        waiter.set_exception(httpcore.ReadTimeout("nothing came in time"))
+        waiter.set_exception(httpcore.ReadTimeout("received no data in time"))
