--- a/dotterelpaddle/tests/owners/arrivals.py
+++ b/dotterelpaddle/tests/owners/arrivals.py
@@ -1,4 +1,4 @@
-"""What reached endpoints, and whether they held more than users allow."""
+"""Records requests that reach endpoints, and whether the load exceeds the bound."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
     from dotterelpaddle.ids import EndpointId
 
 BOUND_MULTIPLE, BOUND_ALLOWANCE = 2.0, 3.0
-"""Users allow an endpoint this many times the mean of its service, and three more."""
+"""Users allow an endpoint twice the mean load of its service plus three requests."""
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
@@ -21,11 +21,11 @@
 
     Attributes:
         arrived_at: Seconds since the fleet's start.
-        endpoint: Where.
-        over_bound: Whether the endpoint held more than users allow.
-        load: What it held.
-        mean: Mean load of all endpoints that ran.
-        choice: What the router that sent it knew.
+        endpoint: The endpoint.
+        over_bound: Whether the endpoint's load exceeded the bound.
+        load: Requests in flight at the endpoint.
+        mean: Mean load of all running endpoints.
+        choice: The choice of the router that sent it.
     """
 
     arrived_at: float
@@ -39,7 +39,7 @@
 def worst_over_bound_share(
     *, arrivals: Sequence[Arrival], since: float, window: float = 5.0
 ) -> float:
-    """The largest share of requests over the bound in any window of some seconds."""
+    """Return the largest share of requests over the bound in any window of seconds."""
     counted = [each for each in arrivals if each.arrived_at >= since]
     worst, first, over = 0.0, 0, 0
     for last, arrival in enumerate(counted):
@@ -53,5 +53,5 @@
 
 
 def local_decision_share(*, arrivals: Sequence[Arrival]) -> float:
-    """Share of the requests that routers placed by themselves."""
+    """Return the share of requests that routers placed without an owner."""
     return sum(each.choice.decided_by is None for each in arrivals) / len(arrivals)
--- a/dotterelpaddle/tests/owners/fleet.py
+++ b/dotterelpaddle/tests/owners/fleet.py
@@ -1,7 +1,7 @@
-"""A large fleet whose owners decide, with its load, in virtual time and in memory.
+"""Simulates a large fleet with owners and load, in memory and in virtual time.
 
-Routers are the real ones, from reports and owners to the choice of an endpoint; hosts,
-network, endpoints and callers are stood in for.
+The routers run production code, from reports and owners to the choice of an endpoint.
+The module simulates hosts, network, endpoints and callers.
 """
 
 from __future__ import annotations
@@ -54,30 +54,30 @@
 SERVICE = ServiceName("engines")
 SLOTS = 12
 UPDATE_DELAY_SECONDS = (0.1, 0.9)
-"""Seconds until a router knows of a change of an endpoint, at least and at most."""
+"""Minimum and maximum delay until a router receives an endpoint update."""
 
 DRAIN_SECONDS = 3.0
-"""Seconds that an endpoint serves on after it has said that it leaves."""
+"""Minimum time that an endpoint keeps serving after it starts to drain."""
 
 RESTART_SECONDS = 0.5
-"""Seconds between the end of a router's process and the next one's start."""
+"""Time between the exit of a router process and the start of the next one."""
 
 REQUESTS_PER_SECOND = 580.0
-"""Requests a second, of CLIENTS callers."""
+"""Total rate of requests from CLIENTS callers."""
 
 CLIENTS = 116
 SUBJECTS, ZIPF = 900, 0.6
 SYSTEM_TOKENS, SUBJECT_TOKENS = 500, 5500
 READ_TOKENS_PER_SECOND, FETCH_TOKENS_PER_SECOND = 80_000.0, 500_000.0
-"""Prompt tokens that an endpoint reads or fetches in a second."""
+"""Rates at which an endpoint reads or fetches prompt tokens."""
 
 ANSWER_SECONDS, SLOWDOWN_PER_REQUEST = 0.2, 0.04
-"""Seconds of an answer alone, and the part of it that each other one adds."""
+"""Duration of a single answer, and the fraction that each concurrent one adds."""
 
 
 @dataclass(kw_only=True, eq=False)
 class Endpoint:
-    """An endpoint and what it works on."""
+    """A simulated endpoint and its requests in flight."""
 
     entry: EndpointEntry
     load: int = 0
@@ -91,11 +91,11 @@
     """Routers, endpoints and callers.
 
     Args:
-        routers: How many routers.
-        endpoints: How many endpoints.
-        seed: Of all that is drawn.
-        leave_time: Seconds that a stopping router serves on.
-        without_owners: Whether no router ever hears of an owner.
+        routers: Number of routers.
+        endpoints: Number of endpoints.
+        seed: Seed of the random generator.
+        leave_time: Seconds that a stopping router keeps serving.
+        without_owners: Whether routers never know an owner.
     """
 
     def __init__(
@@ -132,16 +132,16 @@
         ]
         self.tasks: TaskGroup
 
-    # What operators do.
+    # Operator actions.
 
     async def start_routers(self) -> None:
-        """Start all routers at once, and let them learn of each other."""
+        """Start all routers at once, and wait until they know each other."""
         for router in self.routers:
             self.tasks.start_soon(self.run_host, router)
         await anyio.sleep(6.0)
 
     async def replace_endpoints(self, *, count: int, pause: float) -> None:
-        """Let one leave and start another one, again and again."""
+        """Repeatedly drain one endpoint and start another one."""
         for _ in range(count):
             leaving = self.generator.choice(
                 [
@@ -157,31 +157,31 @@
             await anyio.sleep(2 * pause / 3)
 
     async def restart_routers(self, *, routers: Sequence[Router], pause: float) -> None:
-        """Stop some in turn and start each again once it has ended."""
+        """Stop some routers in turn; each one starts again after it exits."""
         for router in routers:
             router.stopping_since = anyio.current_time()
             router.stopping.set()
             await anyio.sleep(self.generator.uniform(0.2, 1.8) * pause)
 
     async def add_endpoints(self, *, count: int) -> None:
-        """Start some more, a tenth of a second after each other."""
+        """Start more endpoints at intervals of a tenth of a second."""
         for number in range(count):
             added = self._new_endpoint(domain=DOMAINS[number % len(DOMAINS)])
             self._announce(entries=(added.entry,))
             await anyio.sleep(0.1)
 
     def owners(self) -> dict[FailureDomain, Router]:
-        """Who owns what, as the first router that runs knows it."""
+        """Return the owners that the first running router knows."""
         parts = next(each.parts for each in self.routers if each.parts is not None)
         return {
             domain: self._by_address[name.address]
             for domain, name in parts.state.directory.owners().items()
         }
 
-    # What callers do.
+    # Callers.
 
     async def send_requests(self, *, seconds: float) -> None:
-        """Send requests as they come."""
+        """Send requests at random intervals."""
         until = anyio.current_time() + seconds
         while anyio.current_time() < until:
             await anyio.sleep(self.generator.expovariate(REQUESTS_PER_SECOND))
@@ -215,21 +215,21 @@
             router.in_flight -= 1
 
     def _preferred_routers(self, *, client: int) -> list[Router]:
-        """Routers to which a caller's connection goes: the first that takes callers."""
+        """Return a client's routers by preference; it uses the first available one."""
         return sorted(
             self.routers, key=lambda router: digest(text=f"{client}/{router.name}")
         )
 
     def _prompt(self) -> ForwardRequest:
-        drawn = self.generator.random() * self._weights[-1]
-        subject = bisect.bisect(self._weights, drawn)
+        rank_weight = self.generator.random() * self._weights[-1]
+        subject = bisect.bisect(self._weights, rank_weight)
         return make_request(
             ("system", SYSTEM_TOKENS), (f"subject-{subject}", SUBJECT_TOKENS)
         )
 
     async def _serve(self, *, endpoint: EndpointId, choice: Choice) -> None:
-        at = self.endpoints.get(endpoint)
-        if at is None:
+        target = self.endpoints.get(endpoint)
+        if target is None:
             return
         loads = [each.load for each in self.endpoints.values()]
         mean = sum(loads) / len(loads)
@@ -237,8 +237,8 @@
             Arrival(
                 arrived_at=anyio.current_time(),
                 endpoint=endpoint,
-                over_bound=at.load > BOUND_MULTIPLE * mean + BOUND_ALLOWANCE,
-                load=at.load,
+                over_bound=target.load > BOUND_MULTIPLE * mean + BOUND_ALLOWANCE,
+                load=target.load,
                 mean=mean,
                 choice=choice,
             )
@@ -248,16 +248,16 @@
             if choice.fetch_from is None
             else FETCH_TOKENS_PER_SECOND
         )
-        reading = choice.missing_tokens / speed
-        busy, queued = min(at.load, SLOTS), max(0, at.load + 1 - SLOTS)
+        read_seconds = choice.missing_tokens / speed
+        busy, queued = min(target.load, SLOTS), max(0, target.load + 1 - SLOTS)
         answer = (
             ANSWER_SECONDS
             * (1 + SLOWDOWN_PER_REQUEST * busy)
             * self.generator.uniform(0.5, 1.5)
         )
-        at.load += 1
-        await anyio.sleep(reading + answer + queued * ANSWER_SECONDS / SLOTS)
-        at.load -= 1
+        target.load += 1
+        await anyio.sleep(read_seconds + answer + queued * ANSWER_SECONDS / SLOTS)
+        target.load -= 1
 
     # Hosts and network.
 
@@ -272,11 +272,13 @@
             await target.datagrams.deliver(datagram=datagram, sender=sender.address)
 
     def _latency(self, router: Router, domain: FailureDomain) -> float:
-        least = IN_DOMAIN_SECONDS if router.domain == domain else CROSS_DOMAIN_SECONDS
-        return least * self.generator.uniform(1.0, 1.5)
+        min_seconds = (
+            IN_DOMAIN_SECONDS if router.domain == domain else CROSS_DOMAIN_SECONDS
+        )
+        return min_seconds * self.generator.uniform(1.0, 1.5)
 
     async def run_host(self, router: Router) -> None:
-        """Run a router's processes, one after the other."""
+        """Run the successive processes of a router."""
         while True:
             parts = build_router(
                 router=router.name,
@@ -376,12 +378,12 @@
     script: Callable[[SimulatedFleet], Coroutine[Any, Any, None]],
     seconds: float,
 ) -> None:
-    """Start a fleet, and send it requests while a script goes on.
+    """Start a fleet, and send it requests while a script runs.
 
     Args:
         fleet: The fleet.
-        script: What operators do, and what befalls it.
-        seconds: How long requests come.
+        script: Operator actions and faults.
+        seconds: Duration of the load.
     """
     async with anyio.create_task_group() as tasks:
         fleet.tasks = tasks
--- a/dotterelpaddle/tests/owners/harness.py
+++ b/dotterelpaddle/tests/owners/harness.py
@@ -1,4 +1,4 @@
-"""An owner and routers that ask it, with a clock and a network of the test."""
+"""An owner and routers that request grants from it, with a clock that tests set."""
 
 from __future__ import annotations
 
@@ -47,7 +47,7 @@
 
 
 class OwnerHarness:
-    """What all routers know, the owner, and a clock that tests turn."""
+    """An owner, the endpoints that all routers know, and a clock that tests set."""
 
     def __init__(self, *, endpoints: int = 6, there: int = 0) -> None:
         self.now = 100.0
@@ -72,7 +72,7 @@
         return self.now
 
     def restart_owner(self) -> None:
-        """Let another router own the shard, which knows nothing yet."""
+        """Replace the owner of the shard by a new one without any state."""
         self.shares = TotalsTracker(failure_domain=HERE, clock=self.clock)
         loads = LoadTracker(shares=self.shares)
         self.caches = CacheMap(clock=self.clock)
@@ -130,10 +130,10 @@
         excluded: frozenset[EndpointId] = frozenset(),
         cached_at: EndpointId | None = None,
     ) -> tuple[PendingGrant, GrantRequest]:
-        """Begin a question."""
-        asked = self.reporter.open_request(owner=RouterId("owner"))
-        question = GrantRequest(
-            number=asked.number,
+        """Open a grant request."""
+        pending = self.reporter.open_request(owner=RouterId("owner"))
+        grant_request = GrantRequest(
+            number=pending.number,
             report=self.build_report(),
             query=PlacementQuery(
                 service=SERVICE,
@@ -146,10 +146,10 @@
                 cached_at=cached_at,
             ),
         )
-        return asked, question
+        return pending, grant_request
 
     def apply_grant(self, *, pending: PendingGrant, grant: Grant) -> EndpointId | None:
-        """Hear an answer in time, and begin the request."""
+        """Apply a grant that arrives in time, and begin the request."""
         self.reporter.resolve(grant=grant)
         if pending.grant is None or pending.grant.endpoint is None:
             self.reporter.abandon(pending=pending)
@@ -167,7 +167,7 @@
 
 
 def total(routers: list[RequestingRouter]) -> Counter[EndpointId]:
-    """Requests that are really in flight."""
+    """Return the actual requests in flight by endpoint."""
     loads: Counter[EndpointId] = Counter()
     for router in routers:
         loads.update(router.loads.own)
--- a/dotterelpaddle/tests/owners/hosts.py
+++ b/dotterelpaddle/tests/owners/hosts.py
@@ -1,7 +1,7 @@
-"""Hosts with real routers, and datagrams between them, in memory.
+"""In-memory hosts that run real routers and exchange datagrams.
 
-From reports and owners to the choice of an endpoint all is as in production; sockets
-and the time that a host spends on a datagram are stood in for.
+The routers run production code, from reports and owners to the choice of an endpoint.
+The module simulates sockets and the time that a host spends on a datagram.
 """
 
 from __future__ import annotations
@@ -30,22 +30,22 @@
 DOMAINS = tuple(FailureDomain(name) for name in ("a", "b", "c"))
 SEEDS = 3
 LINK_MBITS, FAST_LINK_MBITS = 10, 200
-"""Mbit/s; the first two routers of each failure domain have the better ones."""
+"""Link bandwidths; the first two routers of each failure domain have the fast one."""
 
 CROSS_DOMAIN_SECONDS, IN_DOMAIN_SECONDS = 0.0014, 0.0002
-"""Seconds that a packet takes between two failure domains, and within one."""
+"""Packet latency between two failure domains, and within one."""
 
 DATAGRAM_PROCESSING_SECONDS = 0.0006
-"""Seconds that a host of half a core spends on a datagram."""
+"""Time that a host with half a core spends on a datagram."""
 
 BALANCER_DELAY_SECONDS = 1.5
-"""Seconds until callers no longer come to a router that has said that it stops."""
+"""Time until the load balancer sends no callers to a stopping router."""
 
 SEED_ADDRESSES = tuple(Address(host=f"10.0.0.{seed}", port=1) for seed in range(SEEDS))
 
 
 class HostDatagrams:
-    """A socket of one process, as routers use it."""
+    """Simulates the datagram socket of one process."""
 
     def __init__(
         self, *, router: Router, send: Callable[[bytes, Router, Address], None]
@@ -64,10 +64,10 @@
         self._send(datagram, self._router, target)
 
     async def deliver(self, *, datagram: bytes, sender: Address) -> None:
-        """Hand a datagram to the process when its host has come to it."""
+        """Deliver a datagram after the host has processed the earlier ones."""
         now = anyio.current_time()
-        spent = DATAGRAM_PROCESSING_SECONDS * self._router.slowdown
-        self._busy_until = max(self._busy_until, now) + spent
+        processing_seconds = DATAGRAM_PROCESSING_SECONDS * self._router.slowdown
+        self._busy_until = max(self._busy_until, now) + processing_seconds
         await anyio.sleep_until(self._busy_until)
         self._incoming.send_nowait((datagram, sender))
 
@@ -77,7 +77,7 @@
     """A host with a router, which may stop and start again.
 
     Attributes:
-        slowdown: Times as long as others its host takes for a datagram.
+        slowdown: Factor on the time that its host spends on a datagram.
     """
 
     number: int
@@ -100,7 +100,7 @@
 
     @property
     def takes_callers(self) -> bool:
-        """Whether the balancer sends callers there."""
+        """Whether the load balancer sends callers to the router."""
         if self.parts is None or not self.parts.state.view.entries:
             return False
         return anyio.current_time() < self.stopping_since + BALANCER_DELAY_SECONDS
@@ -119,13 +119,13 @@
     """Put a router's parts together, without a platform or endpoints.
 
     Args:
-        router: Its name.
-        failure_domain: Where it is.
-        address: Where it exchanges datagrams; nothing is opened.
+        router: Name of the router.
+        failure_domain: Its failure domain.
+        address: Its address for datagrams; no socket is opened.
         link: Bandwidth of its host's link, Mbit/s.
         clock: Monotonic clock.
-        leave_time: Seconds that it serves on when it is stopped.
-        protocols: Translates requests and answers, where there are any.
+        leave_time: Seconds that it keeps serving after a stop.
+        protocols: Translates requests and answers, None without any.
     """
     unused: Any = None
     return build_components(
--- a/dotterelpaddle/tests/owners/test_counts.py
+++ b/dotterelpaddle/tests/owners/test_counts.py
@@ -1,4 +1,4 @@
-"""Counts of an owner under lost, doubled and late messages."""
+"""An owner's counts stay correct under lost, duplicate and late messages."""
 
 from __future__ import annotations
 
@@ -26,7 +26,7 @@
 
 
 class OwnerAndRouters(RuleBasedStateMachine):
-    """Messages are delivered in any order, twice, or never."""
+    """Delivers messages in any order, twice or never."""
 
     def __init__(self) -> None:
         super().__init__()
@@ -40,19 +40,19 @@
         self.pending: dict[tuple[int, int], PendingGrant] = {}
 
     @rule(index=INDEX)
-    def ask(self, index: int) -> None:
-        asked, question = self.routers[index].open_request(ignore_bound=True)
-        self.pending[index, asked.number] = asked
-        self.to_owner.append((index, encode(message=question)))
+    def request_grant(self, index: int) -> None:
+        pending, grant_request = self.routers[index].open_request(ignore_bound=True)
+        self.pending[index, pending.number] = pending
+        self.to_owner.append((index, encode(message=grant_request)))
 
     @rule(index=INDEX)
-    def tell(self, index: int) -> None:
+    def send_report(self, index: int) -> None:
         self.to_owner.append(
             (index, encode(message=self.routers[index].build_report()))
         )
 
     @rule(index=INDEX, endpoint=st.integers(min_value=0, max_value=2))
-    def begin_without_asking(self, index: int, endpoint: int) -> None:
+    def begin_without_grant(self, index: int, endpoint: int) -> None:
         self.routers[index].begin(endpoint=self.harness.endpoints[endpoint])
 
     @rule(index=INDEX)
@@ -61,18 +61,18 @@
             self.routers[index].end(0)
 
     @rule(index=INDEX)
-    def give_up_waiting(self, index: int) -> None:
+    def abandon_requests(self, index: int) -> None:
         for key in [key for key in self.pending if key[0] == index]:
             self.routers[index].reporter.abandon(pending=self.pending.pop(key))
 
-    @rule(place=st.integers(min_value=0), twice=st.booleans())
-    def deliver_to_owner(self, place: int, twice: bool) -> None:
+    @rule(position=st.integers(min_value=0), twice=st.booleans())
+    def deliver_to_owner(self, position: int, twice: bool) -> None:
         if not self.to_owner:
             return
-        place %= len(self.to_owner)
-        index, datagram = self.to_owner[place]
+        position %= len(self.to_owner)
+        index, datagram = self.to_owner[position]
         if not twice:
-            del self.to_owner[place]
+            del self.to_owner[position]
         message = decode(datagram=datagram)
         if isinstance(message, GrantRequest):
             grant = self.harness.owner.decide(request=message)
@@ -80,26 +80,26 @@
         elif isinstance(message, InFlightReport):
             self.harness.owner.record_report(report=message)
 
-    @rule(place=st.integers(min_value=0))
-    def deliver_to_router(self, place: int) -> None:
+    @rule(position=st.integers(min_value=0))
+    def deliver_to_router(self, position: int) -> None:
         if not self.to_router:
             return
-        index, datagram = self.to_router.pop(place % len(self.to_router))
+        index, datagram = self.to_router.pop(position % len(self.to_router))
         grant = decode(datagram=datagram)
         assert isinstance(grant, Grant)
-        asked = self.pending.pop((index, grant.number), None)
-        if asked is None:
+        pending = self.pending.pop((index, grant.number), None)
+        if pending is None:
             self.routers[index].reporter.resolve(grant=grant)
         else:
-            self.routers[index].apply_grant(pending=asked, grant=grant)
+            self.routers[index].apply_grant(pending=pending, grant=grant)
 
-    @rule(place=st.integers(min_value=0))
-    def lose(self, place: int) -> None:
+    @rule(position=st.integers(min_value=0))
+    def drop(self, position: int) -> None:
         if self.to_owner:
-            del self.to_owner[place % len(self.to_owner)]
+            del self.to_owner[position % len(self.to_owner)]
 
     @rule()
-    def change_owner(self) -> None:
+    def replace_owner(self) -> None:
         self.harness.restart_owner()
 
     @rule(seconds=st.floats(min_value=0.001, max_value=0.3))
@@ -107,12 +107,12 @@
         self.harness.now += seconds
 
     @invariant()
-    def nothing_is_counted_below_zero(self) -> None:
+    def no_count_is_negative(self) -> None:
         assert all(load > 0 for load in self.harness.counts.loads.values())
 
     @rule()
-    def all_tell_and_counts_are_exact(self) -> None:
-        """One message of each that arrives makes good whatever went before."""
+    def reports_from_all_make_counts_exact(self) -> None:
+        """One report from each router corrects all earlier errors."""
         self.to_owner.clear()
         for key in list(self.pending):
             self.routers[key[0]].reporter.abandon(pending=self.pending.pop(key))
@@ -122,56 +122,56 @@
 
 
 def decode_report(router: RequestingRouter) -> InFlightReport:
-    held = decode(datagram=encode(message=router.build_report()))
-    assert isinstance(held, InFlightReport)
-    return held
+    report = decode(datagram=encode(message=router.build_report()))
+    assert isinstance(report, InFlightReport)
+    return report
 
 
 TestOwnerAndRouters = OwnerAndRouters.TestCase
 TestOwnerAndRouters.settings = settings(max_examples=60, stateful_step_count=40)
 
 
-def test_grant_counts_at_once_and_is_replaced_by_what_its_router_tells() -> None:
-    world = OwnerHarness()
-    router = RequestingRouter(name="router", harness=world)
-    asked, question = router.open_request()
-    grant = world.owner.decide(request=question)
-    before = Counter(world.counts.loads)
-    router.apply_grant(pending=asked, grant=grant)
-    world.owner.record_report(report=router.build_report())
+def test_grant_counts_at_once_until_a_report_replaces_it() -> None:
+    harness = OwnerHarness()
+    router = RequestingRouter(name="router", harness=harness)
+    pending, grant_request = router.open_request()
+    grant = harness.owner.decide(request=grant_request)
+    before = Counter(harness.counts.loads)
+    router.apply_grant(pending=pending, grant=grant)
+    harness.owner.record_report(report=router.build_report())
 
-    assert before == Counter(world.counts.loads) == Counter([grant.endpoint])
+    assert before == Counter(harness.counts.loads) == Counter([grant.endpoint])
 
 
-def test_doubled_question_is_counted_once() -> None:
-    world = OwnerHarness()
-    router = RequestingRouter(name="router", harness=world)
-    _, question = router.open_request()
-    world.owner.decide(request=question)
-    world.owner.decide(request=question)
+def test_duplicate_grant_request_counts_once() -> None:
+    harness = OwnerHarness()
+    router = RequestingRouter(name="router", harness=harness)
+    _, grant_request = router.open_request()
+    harness.owner.decide(request=grant_request)
+    harness.owner.decide(request=grant_request)
 
-    assert sum(world.counts.loads.values()) == 1
+    assert sum(harness.counts.loads.values()) == 1
 
 
-def test_counts_settle_after_all_had_time_to_tell() -> None:
-    world = OwnerHarness()
-    router = RequestingRouter(name="router", harness=world)
-    world.owner.record_report(report=router.build_report())
-    world.now += REPORT_INTERVAL_SECONDS
-    world.owner.record_report(report=router.build_report())
-    soon = world.counts.warmed_up
-    world.now += REPORT_TTL_SECONDS
-    later = world.counts.warmed_up
+def test_counts_warm_up_after_the_report_ttl() -> None:
+    harness = OwnerHarness()
+    router = RequestingRouter(name="router", harness=harness)
+    harness.owner.record_report(report=router.build_report())
+    harness.now += REPORT_INTERVAL_SECONDS
+    harness.owner.record_report(report=router.build_report())
+    soon = harness.counts.warmed_up
+    harness.now += REPORT_TTL_SECONDS
+    later = harness.counts.warmed_up
 
     assert (soon, later) == (False, True)
 
 
-def test_late_message_does_not_undo_a_later_one() -> None:
-    world = OwnerHarness()
-    router = RequestingRouter(name="router", harness=world)
+def test_late_report_does_not_replace_a_newer_one() -> None:
+    harness = OwnerHarness()
+    router = RequestingRouter(name="router", harness=harness)
     early = router.build_report()
-    router.begin(endpoint=world.endpoints[0])
-    world.owner.record_report(report=router.build_report())
-    world.owner.record_report(report=early)
+    router.begin(endpoint=harness.endpoints[0])
+    harness.owner.record_report(report=router.build_report())
+    harness.owner.record_report(report=early)
 
-    assert Counter(world.counts.loads) == Counter([world.endpoints[0]])
+    assert Counter(harness.counts.loads) == Counter([harness.endpoints[0]])
--- a/dotterelpaddle/tests/owners/test_failover.py
+++ b/dotterelpaddle/tests/owners/test_failover.py
@@ -1,4 +1,4 @@
-"""Who decides where an owner does not answer."""
+"""The order in which routers ask owners if the first one does not answer."""
 
 from __future__ import annotations
 
@@ -24,19 +24,19 @@
         assert failover_order(domain=domain, owners=OWNERS)[0] == OWNERS[domain]
 
 
-def test_each_owner_stands_in_for_one_other_failure_domain() -> None:
-    successors = [failover_order(domain=domain, owners=OWNERS)[1] for domain in DOMAINS]
-    assert sorted(each.router for each in successors) == sorted(
+def test_each_owner_is_first_fallback_of_one_other_domain() -> None:
+    fallbacks = [failover_order(domain=domain, owners=OWNERS)[1] for domain in DOMAINS]
+    assert sorted(each.router for each in fallbacks) == sorted(
         each.router for each in OWNERS.values()
     )
 
 
-def test_failure_domain_without_an_owner_has_successors() -> None:
+def test_failure_domain_without_an_owner_has_fallbacks() -> None:
     known = {domain: OWNERS[domain] for domain in DOMAINS if domain != "c"}
-    tried = failover_order(domain=FailureDomain("c"), owners=known)
-    assert [each.failure_domain for each in tried] == ["d", "e", "a"]
+    order = failover_order(domain=FailureDomain("c"), owners=known)
+    assert [each.failure_domain for each in order] == ["d", "e", "a"]
 
 
-def test_few_are_tried() -> None:
+def test_number_of_owners_is_bounded() -> None:
     assert len(failover_order(domain=DOMAINS[0], owners=OWNERS)) == MAX_OWNERS_ASKED
     assert failover_order(domain=DOMAINS[0], owners={}) == []
--- a/dotterelpaddle/tests/owners/test_incident.py
+++ b/dotterelpaddle/tests/owners/test_incident.py
@@ -1,22 +1,21 @@
 """Endpoints over their bound: a fleet of 88 routers and 30 engines of 12 slots.
 
-What was seen: while endpoints were replaced one after the other, and twelve had just
-been added, 3 in 100 requests of five seconds reached engines that held more than twice
-the mean of their service and three more.
+Symptom: while operators replaced endpoints one after the other, and had just added
+twelve, 3 in 100 requests of five seconds reached engines with more than twice the mean
+load of their service plus three requests.
 
-How it came about: all routers decided by themselves, on counts 0.2 to 0.6 s old, and
-what each added to an endpoint no other one saw in time. Since one owner of each failure
-domain decides, that is over; but where an owner answered late, those who asked it went
-back to old counts, all of them, for as long as that lasted.
+Cause: all routers decided locally, on counts that were 0.2 to 0.6 s old, and did not
+see in time what other routers added. An owner per failure domain removes that cause;
+but while an owner answered late, all its requesters fell back to stale counts.
 
-What proved it: the same load breaks the bound when no router hears of an owner, and
-keeps it when owners decide, whether endpoints come and go or not. With two of three
-owners on slow hosts two thirds of the requests were decided alone, and all that were
-over the bound were among them.
+Evidence: the same load breaks the bound if no router knows an owner, and keeps it if
+owners decide, whether endpoints come and go or not. With two of three owners on slow
+hosts routers decided two thirds of the requests locally, and all requests over the
+bound were among these.
 
 The load is that of the incident: 580 requests a second for 900 prompts, about five in
-flight at each engine. Users allow 3 in 100 over the bound; 1 in 100 is the aim, so that
-one unlucky day does not break it.
+flight at each engine. Users allow 3 in 100 over the bound; the target is 1 in 100, as a
+margin for random variation.
 """
 
 from __future__ import annotations
@@ -35,16 +34,16 @@
 
 MAX_SHARE = 0.03
 TARGET_SHARE = 0.01
-"""Share of the requests of any five seconds that reach endpoints over the bound."""
+"""Shares of requests over the bound in any five seconds: user limit and target."""
 
 START_SECONDS = 6.0
-"""Seconds until the routers know each other."""
+"""Time until the routers know each other."""
 
 WARM_UP_SECONDS = 4.0
-"""Seconds of load until most prompts have been read."""
+"""Time under load until endpoints have cached most prompts."""
 
 SLOW_HOST_FACTOR = 5.5
-"""Times as long as usual that a slow host takes, as users' hosts have done."""
+"""Processing time of a slow host relative to a normal one, as seen on users' hosts."""
 
 LOAD_SECONDS = 11.0
 
@@ -65,7 +64,7 @@
 
 
 async def _routers_stop_in_turn(fleet: SimulatedFleet) -> None:
-    """All of them, owners and aggregators too, while endpoints are replaced."""
+    """Restart all routers, including owners and aggregators, and replace endpoints."""
     async with anyio.create_task_group() as tasks:
         tasks.start_soon(lambda: fleet.replace_endpoints(count=8, pause=1.5))
         await anyio.sleep(1.0)
@@ -89,15 +88,15 @@
 
 
 async def _owners_stop_at_once(fleet: SimulatedFleet) -> None:
-    """Those of all failure domains, and later those that follow them."""
+    """Stop the owners of all failure domains, and later their replacements."""
     await anyio.sleep(2.0)
     await fleet.restart_routers(routers=list(fleet.owners().values()), pause=0.0)
     await anyio.sleep(4.0)
     await fleet.restart_routers(routers=list(fleet.owners().values()), pause=0.0)
 
 
-def test_routers_that_all_go_by_old_counts_overload_endpoints() -> None:
-    """The incident itself: no router hears of an owner."""
+def test_local_decisions_on_stale_counts_overload_endpoints() -> None:
+    """Reproduces the incident: no router knows an owner."""
     arrivals = _run(_endpoints_come_and_go, decide_alone=True)
 
     assert (
@@ -145,7 +144,7 @@
 
 
 def test_owners_that_stop_hand_over_before_they_end() -> None:
-    """A planned stop leaves no request without an owner that decides."""
+    """Guards against local decisions during a planned stop of the owners."""
     arrivals = _run(_owners_stop_at_once)
 
     assert (
--- a/dotterelpaddle/tests/owners/test_messages.py
+++ b/dotterelpaddle/tests/owners/test_messages.py
@@ -1,4 +1,4 @@
-"""Messages between routers and owners as datagrams."""
+"""Encoding and decoding of messages between routers and owners."""
 
 from __future__ import annotations
 
@@ -26,14 +26,14 @@
 )
 
 A, B = EndpointId("a@17"), EndpointId("b")
-HELD = InFlightReport(
+REPORT = InFlightReport(
     router=RouterId("router-1"),
     incarnation=7,
     sequence=12,
     loads={A: 2, B: 1},
     pending=frozenset({3, 4}),
 )
-WANTED = PlacementQuery(
+QUERY = PlacementQuery(
     service=ServiceName("engines"),
     shard=FailureDomain("here"),
     model=ModelId("m"),
@@ -48,8 +48,8 @@
 @pytest.mark.parametrize(
     "message",
     [
-        HELD,
-        GrantRequest(number=4, report=HELD, query=WANTED),
+        REPORT,
+        GrantRequest(number=4, report=REPORT, query=QUERY),
         Grant(number=4),
         Grant(
             number=4,
@@ -63,7 +63,7 @@
         ),
     ],
 )
-def test_message_comes_back_as_it_was(message: Message) -> None:
+def test_message_round_trips(message: Message) -> None:
     datagram = encode(message=message)
 
     assert datagram.startswith(DATAGRAM_PREFIX)
@@ -84,6 +84,6 @@
         b'["grant",1,"a",null,"a reason of a later release",0,0,0,0]',
     ],
 )
-def test_what_is_no_message_is_refused(datagram: bytes) -> None:
+def test_malformed_datagram_is_refused(datagram: bytes) -> None:
     with pytest.raises(ControlError):
         decode(datagram=datagram)
--- a/dotterelpaddle/tests/owners/test_owner.py
+++ b/dotterelpaddle/tests/owners/test_owner.py
@@ -1,8 +1,8 @@
-"""Many routers get a burst of requests for one prompt in the same moment.
+"""Many routers get a burst of requests for one prompt at the same time.
 
-The pattern: 80 requests within a few milliseconds, at as many routers, for a subject
-whose prompt of 9,000 tokens no engine has. Reports between routers are 0.2 to 0.6 s
-old, so each router for itself sees empty engines; six engines of twelve slots hold 72.
+80 requests reach as many routers within a few milliseconds, for a prompt of 9,000
+tokens that no engine has cached. Reports between routers are 0.2 to 0.6 s old, so each
+router on its own sees idle engines; six engines of twelve slots can run 72 requests.
 """
 
 from __future__ import annotations
@@ -25,134 +25,138 @@
 
 ROUTERS = 80
 BOUND_MULTIPLE, BOUND_ALLOWANCE = 2, 3
-"""What users allow an endpoint: twice the mean of its service and three requests."""
+"""Users allow an endpoint twice the mean load of its service plus three requests."""
 
 
-def _routers(world: OwnerHarness, count: int = ROUTERS) -> list[RequestingRouter]:
-    return [RequestingRouter(name=f"router-{n}", harness=world) for n in range(count)]
+def _routers(harness: OwnerHarness, count: int = ROUTERS) -> list[RequestingRouter]:
+    return [RequestingRouter(name=f"router-{n}", harness=harness) for n in range(count)]
 
 
-def _settle(world: OwnerHarness, routers: list[RequestingRouter]) -> None:
-    """Let the owner hear from all for as long as it takes to believe its counts."""
-    until = world.now + REPORT_TTL_SECONDS
-    while world.now < until:
+def _warm_up(harness: OwnerHarness, routers: list[RequestingRouter]) -> None:
+    """Send reports of all routers until the owner's counts have warmed up."""
+    until = harness.now + REPORT_TTL_SECONDS
+    while harness.now < until:
         for router in routers:
-            world.owner.record_report(report=router.build_report())
-        world.now += REPORT_INTERVAL_SECONDS
+            harness.owner.record_report(report=router.build_report())
+        harness.now += REPORT_INTERVAL_SECONDS
 
 
-def _ask(
-    world: OwnerHarness, router: RequestingRouter, *, must: bool = True
+def _place(
+    harness: OwnerHarness, router: RequestingRouter, *, ignore_bound: bool = True
 ) -> str | None:
-    asked, question = router.open_request(ignore_bound=must)
-    return router.apply_grant(pending=asked, grant=world.owner.decide(request=question))
+    pending, grant_request = router.open_request(ignore_bound=ignore_bound)
+    return router.apply_grant(
+        pending=pending, grant=harness.owner.decide(request=grant_request)
+    )
 
 
 def test_burst_at_many_routers_overloads_no_endpoint() -> None:
-    world = OwnerHarness()
-    routers = _routers(world)
-    _settle(world, routers)
+    harness = OwnerHarness()
+    routers = _routers(harness)
+    _warm_up(harness, routers)
     for router in routers:
-        endpoint = _ask(world, router)
+        endpoint = _place(harness, router)
         loads = total(routers)
-        mean = sum(loads.values()) / len(world.endpoints)
+        mean = sum(loads.values()) / len(harness.endpoints)
         assert endpoint is not None
         assert loads[EndpointId(endpoint)] <= BOUND_MULTIPLE * mean + BOUND_ALLOWANCE
 
 
-def test_first_readers_of_a_prompt_at_many_routers_share_one_read() -> None:
-    world = OwnerHarness()
-    routers = _routers(world, 8)
-    _settle(world, routers)
+def test_one_endpoint_reads_a_new_prompt_for_many_routers() -> None:
+    harness = OwnerHarness()
+    routers = _routers(harness, 8)
+    _warm_up(harness, routers)
     questions = [router.open_request() for router in routers]
-    grants = [world.owner.decide(request=question) for _, question in questions]
+    grants = [
+        harness.owner.decide(request=grant_request) for _, grant_request in questions
+    ]
 
     read = [grant for grant in grants if grant.missing and grant.fetch_from is None]
     assert len(read) == 1
     assert all(grant.endpoint is not None for grant in grants)
 
 
-def test_shard_that_is_full_sends_on_unless_it_must_not() -> None:
-    world = OwnerHarness()
-    routers = _routers(world)
-    _settle(world, routers)
-    for router in routers[: SLOTS * len(world.endpoints)]:
-        assert _ask(world, router) is not None
-    # The mean is that of the whole service: with all at their slots and the mean
-    # there too, the bound leaves two more to each endpoint.
+def test_full_shard_still_grants_if_the_bound_is_ignored() -> None:
+    harness = OwnerHarness()
+    routers = _routers(harness)
+    _warm_up(harness, routers)
+    for router in routers[: SLOTS * len(harness.endpoints)]:
+        assert _place(harness, router) is not None
+    # The mean covers the whole service. With all endpoints at their slots the mean
+    # equals the slots, and the bound leaves two more requests to each endpoint.
     last = routers[-1]
-    for endpoint in world.endpoints:
+    for endpoint in harness.endpoints:
         for _ in range(5):
             last.begin(endpoint=endpoint)
     for _ in range(5):
-        last.begin(endpoint=world.endpoints[0])
-    world.owner.record_report(report=last.build_report())
+        last.begin(endpoint=harness.endpoints[0])
+    harness.owner.record_report(report=last.build_report())
 
-    asked, question = last.open_request(ignore_bound=True)
-    granted = world.owner.decide(request=question)
-    assert granted.endpoint not in (None, world.endpoints[0])
+    pending, grant_request = last.open_request(ignore_bound=True)
+    granted = harness.owner.decide(request=grant_request)
+    assert granted.endpoint not in (None, harness.endpoints[0])
 
 
-def test_endpoint_that_the_asking_router_can_not_use_is_not_chosen() -> None:
-    world = OwnerHarness(endpoints=2)
-    (router,) = _routers(world, 1)
-    _, question = router.open_request(excluded=frozenset({world.endpoints[0]}))
-    grant = world.owner.decide(request=question)
-    assert grant.endpoint == world.endpoints[1]
+def test_excluded_endpoint_is_not_chosen() -> None:
+    harness = OwnerHarness(endpoints=2)
+    (router,) = _routers(harness, 1)
+    _, grant_request = router.open_request(excluded=frozenset({harness.endpoints[0]}))
+    grant = harness.owner.decide(request=grant_request)
+    assert grant.endpoint == harness.endpoints[1]
 
 
-def test_new_owner_goes_by_the_greater_count_until_all_have_told() -> None:
-    """What reports tell counts while routers have not told the new owner yet."""
-    world = OwnerHarness()
-    routers = _routers(world, 12)
-    _settle(world, routers)
+def test_new_owner_uses_the_greater_count_until_all_have_reported() -> None:
+    """Peer reports count while some routers have not reported to the new owner yet."""
+    harness = OwnerHarness()
+    routers = _routers(harness, 12)
+    _warm_up(harness, routers)
     for router in routers:
-        _ask(world, router)
-    world.restart_owner()
+        _place(harness, router)
+    harness.restart_owner()
     for router in routers[:6]:
-        world.owner.record_report(report=router.build_report())
-    assert not world.counts.warmed_up
-    _settle(world, routers)
-    assert world.counts.warmed_up
-    assert Counter(world.counts.loads) == total(routers)
+        harness.owner.record_report(report=router.build_report())
+    assert not harness.counts.warmed_up
+    _warm_up(harness, routers)
+    assert harness.counts.warmed_up
+    assert Counter(harness.counts.loads) == total(routers)
 
 
-def test_owner_that_stands_in_counts_what_routers_have_elsewhere() -> None:
-    """Routers tell it of the other failure domain too, which it never counted."""
-    world = OwnerHarness(endpoints=4, there=4)
-    routers = _routers(world, 12)
+def test_fallback_owner_counts_requests_in_other_domains() -> None:
+    """Reports to it also cover the other failure domain, which it has not counted."""
+    harness = OwnerHarness(endpoints=4, there=4)
+    routers = _routers(harness, 12)
     for router in routers:
-        router.begin(endpoint=world.others[0])
-    _settle(world, routers)
-    asked, question = routers[0].open_request(shard=THERE)
+        router.begin(endpoint=harness.others[0])
+    _warm_up(harness, routers)
+    pending, grant_request = routers[0].open_request(shard=THERE)
     endpoint = routers[0].apply_grant(
-        pending=asked, grant=world.owner.decide(request=question)
+        pending=pending, grant=harness.owner.decide(request=grant_request)
     )
 
-    assert endpoint in world.others[1:]
+    assert endpoint in harness.others[1:]
 
 
-def test_owner_that_stands_in_goes_by_the_greater_count() -> None:
-    """Some routers may still ask the owner itself, and be told of by reports alone."""
-    world = OwnerHarness(endpoints=4, there=4)
-    routers = _routers(world, 3)
-    _settle(world, routers)
-    told = RequestTotals(loads=dict.fromkeys(world.others[:3], SLOTS))
-    world.shares.receive(router=RouterId("far"), failure_domain=THERE, totals=told)
-    _, question = routers[0].open_request(shard=THERE)
+def test_fallback_owner_uses_the_greater_count() -> None:
+    """Guards against missing routers that still ask the original owner."""
+    harness = OwnerHarness(endpoints=4, there=4)
+    routers = _routers(harness, 3)
+    _warm_up(harness, routers)
+    totals = RequestTotals(loads=dict.fromkeys(harness.others[:3], SLOTS))
+    harness.shares.receive(router=RouterId("far"), failure_domain=THERE, totals=totals)
+    _, grant_request = routers[0].open_request(shard=THERE)
 
-    assert world.owner.decide(request=question).endpoint == world.others[3]
+    assert harness.owner.decide(request=grant_request).endpoint == harness.others[3]
 
 
-def test_requests_of_a_router_that_ended_are_forgotten() -> None:
-    world = OwnerHarness()
-    (router,) = _routers(world, 1)
-    _ask(world, router)
-    world.now += REPORT_TTL_SECONDS + 0.1
-    assert not world.counts.loads
+def test_requests_of_a_stopped_router_expire() -> None:
+    harness = OwnerHarness()
+    (router,) = _routers(harness, 1)
+    _place(harness, router)
+    harness.now += REPORT_TTL_SECONDS + 0.1
+    assert not harness.counts.loads
 
 
-def test_bound_of_the_owner_is_under_what_users_allow() -> None:
+def test_load_bound_is_within_what_users_allow() -> None:
     entry = make_entry("engine", slots=SLOTS)
     for mean in (0.0, 1.0, 4.0, 9.0, 30.0):
         allowed = BOUND_MULTIPLE * mean + BOUND_ALLOWANCE
@@ -160,21 +164,25 @@
 
 
 def test_plain_requests_are_counted_exactly_too() -> None:
-    world = OwnerHarness(endpoints=3)
-    routers = _routers(world, 30)
-    _settle(world, routers)
+    harness = OwnerHarness(endpoints=3)
+    routers = _routers(harness, 30)
+    _warm_up(harness, routers)
     for router in routers:
-        asked, question = router.open_request(request=make_request(), ignore_bound=True)
-        router.apply_grant(pending=asked, grant=world.owner.decide(request=question))
+        pending, grant_request = router.open_request(
+            request=make_request(), ignore_bound=True
+        )
+        router.apply_grant(
+            pending=pending, grant=harness.owner.decide(request=grant_request)
+        )
     assert set(total(routers).values()) == {10}
 
 
-def test_full_shard_tells_where_the_prompt_can_be_fetched_from() -> None:
-    """The second owner lets it be fetched instead of read again."""
+def test_full_shard_names_an_endpoint_to_fetch_the_prompt_from() -> None:
+    """Guards against a second read of a prompt that another shard has cached."""
     first, second = OwnerHarness(endpoints=4), OwnerHarness(endpoints=4)
     (router,) = _routers(first, 1)
-    _settle(first, [router])
-    holder = _ask(first, router)
+    _warm_up(first, [router])
+    holder = _place(first, router)
     for endpoint in first.endpoints:
         for _ in range(3 * SLOTS):
             router.begin(endpoint=endpoint)
@@ -195,10 +203,12 @@
             is_snapshot=True,
         )
     )
-    _, question = router.open_request(ignore_bound=False)
-    refusal = first.owner.decide(request=question)
-    _, question = router.open_request(ignore_bound=True, cached_at=refusal.fetch_from)
-    grant = second.owner.decide(request=question)
+    _, grant_request = router.open_request(ignore_bound=False)
+    refusal = first.owner.decide(request=grant_request)
+    _, grant_request = router.open_request(
+        ignore_bound=True, cached_at=refusal.fetch_from
+    )
+    grant = second.owner.decide(request=grant_request)
 
     assert refusal.endpoint is None
     assert refusal.fetch_from == holder
--- a/dotterelpaddle/tests/owners/test_reporting.py
+++ b/dotterelpaddle/tests/owners/test_reporting.py
@@ -1,7 +1,7 @@
-"""When a router tells which owner of its requests in flight.
+"""When a router reports its requests in flight to which owner.
 
-The pattern: a long stream at an endpoint of one failure domain, beside short requests
-in another one that begin and end all the time.
+The load is a long stream in one failure domain, and short requests in another one that
+begin and end continuously.
 """
 
 from __future__ import annotations
@@ -14,54 +14,58 @@
     RequestingRouter,
 )
 
-PAUSE = 0.1
-"""Seconds between short requests."""
+PAUSE_SECONDS = 0.1
+"""Time between short requests."""
 
 
 def _router() -> tuple[OwnerHarness, RequestingRouter]:
-    world = OwnerHarness(endpoints=4, there=4)
-    return world, RequestingRouter(name="router", harness=world)
+    harness = OwnerHarness(endpoints=4, there=4)
+    return harness, RequestingRouter(name="router", harness=harness)
 
 
-def test_owner_of_a_long_stream_hears_of_it_whatever_goes_on_elsewhere() -> None:
-    world, router = _router()
-    router.begin(endpoint=world.others[0])
-    last_told, longest = world.now, 0.0
+def test_owner_of_a_long_stream_gets_reports_despite_changes_elsewhere() -> None:
+    harness, router = _router()
+    router.begin(endpoint=harness.others[0])
+    last_reported, longest = harness.now, 0.0
     for _ in range(100):
-        router.begin(endpoint=world.endpoints[0])
+        router.begin(endpoint=harness.endpoints[0])
         router.end(1)
-        world.now += PAUSE
+        harness.now += PAUSE_SECONDS
         for domain in router.reporter.take_due_domains():
             router.reporter.build_report(domain=domain)
             if domain == THERE:
-                longest = max(longest, world.now - last_told)
-                last_told = world.now
-    longest = max(longest, world.now - last_told)
+                longest = max(longest, harness.now - last_reported)
+                last_reported = harness.now
+    longest = max(longest, harness.now - last_reported)
 
     assert longest < REPORT_TTL_SECONDS / 2
 
 
-def test_owner_that_granted_a_request_need_not_be_told_of_it_at_once() -> None:
-    world, router = _router()
-    asked, question = router.open_request()
-    router.apply_grant(pending=asked, grant=world.owner.decide(request=question))
+def test_granted_request_needs_no_immediate_report() -> None:
+    harness, router = _router()
+    pending, grant_request = router.open_request()
+    router.apply_grant(
+        pending=pending, grant=harness.owner.decide(request=grant_request)
+    )
 
     assert router.reporter.take_due_domains() == set()
 
 
-def test_end_of_a_request_is_told_at_once() -> None:
-    world, router = _router()
-    asked, question = router.open_request()
-    router.apply_grant(pending=asked, grant=world.owner.decide(request=question))
+def test_end_of_a_request_is_reported_at_once() -> None:
+    harness, router = _router()
+    pending, grant_request = router.open_request()
+    router.apply_grant(
+        pending=pending, grant=harness.owner.decide(request=grant_request)
+    )
     router.end(0)
 
     assert router.reporter.take_due_domains() == {HERE}
     assert router.reporter.take_due_domains() == set()
 
 
-def test_nothing_in_flight_is_not_told_again() -> None:
-    world, router = _router()
+def test_no_requests_in_flight_need_no_repeated_report() -> None:
+    harness, router = _router()
     router.build_report()
-    world.now += 2 * REPORT_INTERVAL_SECONDS
+    harness.now += 2 * REPORT_INTERVAL_SECONDS
 
     assert router.reporter.take_due_domains() == set()
--- a/dotterelpaddle/tests/owners/test_routers.py
+++ b/dotterelpaddle/tests/owners/test_routers.py
@@ -1,4 +1,4 @@
-"""Real routers of a fleet in which an owner decides."""
+"""Real routers of a fleet with an owner."""
 
 from __future__ import annotations
 
@@ -17,23 +17,23 @@
 
 pytestmark = pytest.mark.anyio
 
-OWNER, ASKING = 2, 3
-"""Places of the router that owns the shard, and of one that asks it."""
+OWNER, REQUESTER = 2, 3
+"""Indexes of the router that owns the shard, and of one that requests grants."""
 
 
 @pytest.fixture(autouse=True)
 def small_mesh(monkeypatch: pytest.MonkeyPatch) -> None:
-    """Let two routers aggregate for the others, one of which owns all endpoints."""
+    """Make two routers aggregators, one of which owns all endpoints."""
     monkeypatch.setattr(plan, "MAX_MESH_ROUTERS", 2)
 
 
 class OwnerProbe:
-    """Records what an owner hears, and may keep it from answering."""
+    """Records grant requests to an owner, and can suppress its answers."""
 
-    def __init__(self, *, fleet: Fleet, place: int) -> None:
+    def __init__(self, *, fleet: Fleet, index: int) -> None:
         self.requests: list[GrantRequest] = []
         self.responding = True
-        owner = fleet.routers[place].parts.owners
+        owner = fleet.routers[index].parts.owners
         receive = owner.receive
 
         async def _receive(*, datagram: bytes, address: object) -> None:
@@ -59,7 +59,7 @@
         directory = router.parts.state.directory
         await wait_until(lambda d=directory: _owner(d) == owner)
         await wait_until(lambda r=router: r.parts.app.ready)
-    return OwnerProbe(fleet=fleet, place=OWNER)
+    return OwnerProbe(fleet=fleet, index=OWNER)
 
 
 def _owner(directory) -> RouterId | None:
@@ -67,67 +67,67 @@
     return None if owner is None else owner.router
 
 
-async def test_owner_decides_for_a_router_that_asks() -> None:
+async def test_owner_decides_for_a_requesting_router() -> None:
     async with run_fleet(routers=0) as fleet:
-        heard = await _start(fleet)
-        answer = await fleet.call("/unsafe/", router=ASKING)
+        probe = await _start(fleet)
+        answer = await fleet.call("/unsafe/", router=REQUESTER)
 
     assert answer.status == 200
-    assert [question.report.router for question in heard.requests] == ["router-4"]
+    assert [request.report.router for request in probe.requests] == ["router-4"]
 
 
 async def test_requests_of_all_routers_are_spread_exactly() -> None:
-    """Each of four routers gets a request in the same moment."""
+    """Each of four routers gets a request at the same time."""
     async with run_fleet(routers=0) as fleet:
-        heard = await _start(fleet)
+        probe = await _start(fleet)
         async with anyio.create_task_group() as tasks:
-            for place in range(len(fleet.routers)):
-                tasks.start_soon(_call, fleet, place)
+            for index in range(len(fleet.routers)):
+                tasks.start_soon(_call, fleet, index)
         counts = sorted(len(runner.runs) for runner in fleet.runners.values())
 
-    assert len(heard.requests) == len(fleet.routers)
+    assert len(probe.requests) == len(fleet.routers)
     assert counts[-1] - counts[0] <= 2
 
 
-async def _call(fleet: Fleet, place: int) -> None:
-    answer = await fleet.call("/unsafe/", router=place)
+async def _call(fleet: Fleet, index: int) -> None:
+    answer = await fleet.call("/unsafe/", router=index)
     assert answer.status == 200
 
 
-async def test_router_decides_by_itself_while_the_owner_is_silent() -> None:
+async def test_router_decides_locally_while_the_owner_does_not_answer() -> None:
     async with run_fleet(routers=0) as fleet:
-        heard = await _start(fleet)
-        heard.responding = False
-        first = await fleet.call("/unsafe/", router=ASKING)
-        asked = fleet.routers[ASKING].parts.owners._cooldown_until
-        second = await fleet.call("/unsafe/", router=ASKING)
+        probe = await _start(fleet)
+        probe.responding = False
+        first = await fleet.call("/unsafe/", router=REQUESTER)
+        cooldowns = fleet.routers[REQUESTER].parts.owners._cooldown_until
+        second = await fleet.call("/unsafe/", router=REQUESTER)
 
     assert (first.status, second.status) == (200, 200)
-    assert len(asked) == 1
+    assert len(cooldowns) == 1
 
 
-async def test_owner_counts_what_ends_and_what_nobody_asked_for() -> None:
+async def test_owner_counts_ended_and_ungranted_requests() -> None:
     async with run_fleet(routers=0) as fleet:
         await _start(fleet)
         counts = fleet.routers[OWNER].parts.owners._owner._counts
-        loads = fleet.routers[ASKING].parts.state.loads
-        endpoint = fleet.routers[ASKING].parts.state.view.entries[0].endpoint
+        loads = fleet.routers[REQUESTER].parts.state.loads
+        endpoint = fleet.routers[REQUESTER].parts.state.view.entries[0].endpoint
         with loads.track(endpoint=endpoint):
             await wait_until(lambda: counts.loads.get(endpoint) == 1)
         await wait_until(lambda: not counts.loads)
 
 
-async def test_owner_that_has_not_heard_is_told_who_leaves() -> None:
-    """Guards against grants of endpoints that only the asking router knows to leave."""
+async def test_requester_excludes_leaving_endpoints() -> None:
+    """Guards against grants of endpoints that only the requester knows as leaving."""
     async with run_fleet(routers=0) as fleet:
-        heard = await _start(fleet)
-        view = fleet.routers[ASKING].parts.state.view
+        probe = await _start(fleet)
+        view = fleet.routers[REQUESTER].parts.state.view
         leaving = EndpointId("runner-1")
         view.leaving.record(endpoint=leaving)
         await fleet.add_runner("runner-3")
         await wait_until(lambda: len(view.entries) == 3)
-        answer = await fleet.call("/unsafe/", router=ASKING)
+        answer = await fleet.call("/unsafe/", router=REQUESTER)
 
     assert answer.status == 200
     assert not fleet.runners["runner-1"].runs
-    assert [question.query.excluded for question in heard.requests] == [{leaving}]
+    assert [request.query.excluded for request in probe.requests] == [{leaving}]
--- a/dotterelpaddle/tests/owners/test_shards.py
+++ b/dotterelpaddle/tests/owners/test_shards.py
@@ -1,4 +1,4 @@
-"""Which shard a prompt belongs to as endpoints come and go."""
+"""The assignment of prompts to shards as endpoints come and go."""
 
 from __future__ import annotations
 
@@ -40,7 +40,7 @@
     assert 0.42 < counts[C] / 2000 < 0.58
 
 
-def test_domain_without_usable_endpoints_moves_its_prompts_alone() -> None:
+def test_domain_without_usable_endpoints_moves_only_its_prompts() -> None:
     entries = _entries(a=10, b=10, c=10)
     before = _first(entries)
     usable = [entry for entry in entries if entry.failure_domain != B]
@@ -70,9 +70,11 @@
             revision=Revision(1), entries=tuple(few), is_snapshot=True
         )
     )
-    alone = owning_domain(service=SERVICE, domains={A, B})
+    single_domain = owning_domain(service=SERVICE, domains={A, B})
     assert shards.shards(service=SERVICE) == (None,)
-    assert {shards.owning_domain(endpoint=entry.endpoint) for entry in few} == {alone}
+    assert {shards.owning_domain(endpoint=entry.endpoint) for entry in few} == {
+        single_domain
+    }
     many = _entries(a=6, b=6)
     view.apply_endpoints_update(
         update=EndpointsUpdate(
--- a/dotterelpaddle/tests/owners/test_starts.py
+++ b/dotterelpaddle/tests/owners/test_starts.py
@@ -1,9 +1,9 @@
-"""All routers of a large fleet start at once, as after a loss of power.
+"""All routers of a large fleet start at once, as after a power failure.
 
-The pattern: 88 hosts that start within 0.3 s of each other, and know three seeds. Until
-all name the same owner of a failure domain, several decide there, each on a part of the
-requests, and each asks the engines for their caches. All are to agree within the time
-in which an owner that has ended is followed.
+88 hosts start within 0.3 s of each other, and know three seeds. Until all routers name
+the same owner of a failure domain, several owners decide there, each on a part of the
+requests, and each queries the engines for their caches. All routers must agree within
+the time that the replacement of a failed owner takes.
 """
 
 from __future__ import annotations
@@ -17,10 +17,10 @@
 from dotterelpaddle.tests.virtual_time import run_in_virtual_time
 
 START_SPREAD_SECONDS = 0.3
-"""Seconds within which hosts start."""
+"""Period within which hosts start."""
 
 POLL_SECONDS = 0.05
-SECONDS = 4.0
+RUN_SECONDS = 4.0
 
 
 async def _start_late(fleet: SimulatedFleet, router: Router) -> None:
@@ -29,31 +29,33 @@
 
 
 def _agree(fleet: SimulatedFleet) -> bool:
-    """Whether all routers name the same owner of each failure domain."""
+    """Return whether all routers name the same owner of each failure domain."""
     owners = []
     for router in fleet.routers:
         if router.parts is None:
             return False
-        named = router.parts.state.directory.owners()
-        owners.append({domain: name.router for domain, name in named.items()})
+        owners_by_domain = router.parts.state.directory.owners()
+        owners.append(
+            {domain: name.router for domain, name in owners_by_domain.items()}
+        )
     return owners[0].keys() == set(DOMAINS) and all(
         each == owners[0] for each in owners
     )
 
 
 async def _agreed_at(fleet: SimulatedFleet) -> float:
-    """Seconds after which they no longer differ."""
-    differed_at = 0.0
+    """Return the time in seconds from which the routers agree."""
+    disagreed_at = 0.0
     async with anyio.create_task_group() as tasks:
         fleet.tasks = tasks
         for router in fleet.routers:
             tasks.start_soon(_start_late, fleet, router)
-        while anyio.current_time() < SECONDS:
+        while anyio.current_time() < RUN_SECONDS:
             await anyio.sleep(POLL_SECONDS)
             if not _agree(fleet):
-                differed_at = anyio.current_time()
+                disagreed_at = anyio.current_time()
         tasks.cancel_scope.cancel()
-    return differed_at
+    return disagreed_at
 
 
 @pytest.mark.parametrize("seed", [1, 2, 3, 4])
