--- a/dotterelpaddle/owners/messages.py
+++ b/dotterelpaddle/owners/messages.py
@@ -58,7 +58,7 @@
         shard: Failure domain whose endpoints may be chosen, None for all.
         model: The model that the caller requests, empty for none.
         prompt: Parts of its prompt, in order; no other request shares the last one.
-        repeatable: Whether the router can retry the request at another endpoint.
+        retryable: Whether the router can retry the request at another endpoint.
         excluded: Endpoints that the owner must not choose.
         ignore_bound: Whether the owner chooses even if all endpoints are over their
             load bound.
@@ -69,7 +69,7 @@
     shard: FailureDomain | None
     model: ModelId
     prompt: tuple[PromptPart, ...]
-    repeatable: bool
+    retryable: bool
     excluded: frozenset[EndpointId]
     ignore_bound: bool
     cached_at: EndpointId | None = None
@@ -132,7 +132,7 @@
                     query.shard,
                     query.model,
                     [[part.digest, part.tokens] for part in query.prompt],
-                    query.repeatable,
+                    query.retryable,
                     sorted(query.excluded),
                     query.ignore_bound,
                     query.cached_at,
@@ -191,9 +191,7 @@
 
 
 def _decode_query(fields: Any) -> PlacementQuery:
-    service, shard, model, prompt, repeatable, excluded, ignore_bound, cached_at = (
-        fields
-    )
+    service, shard, model, prompt, retryable, excluded, ignore_bound, cached_at = fields
     return PlacementQuery(
         service=ServiceName(str(service)),
         shard=None if shard is None else FailureDomain(str(shard)),
@@ -201,7 +199,7 @@
         prompt=tuple(
             PromptPart(digest=str(part), tokens=int(tokens)) for part, tokens in prompt
         ),
-        repeatable=bool(repeatable),
+        retryable=bool(retryable),
         excluded=frozenset(EndpointId(str(each)) for each in excluded),
         ignore_bound=bool(ignore_bound),
         cached_at=_decode_endpoint(cached_at),
--- a/dotterelpaddle/owners/owner.py
+++ b/dotterelpaddle/owners/owner.py
@@ -78,7 +78,7 @@
                 service=query.service,
                 shard=query.shard,
                 request=query,
-                retryable=query.repeatable,
+                retryable=query.retryable,
                 excluded=query.excluded,
                 loads=self._current_loads(query=query),
                 ignore_bound=query.ignore_bound,
--- a/dotterelpaddle/owners/placer.py
+++ b/dotterelpaddle/owners/placer.py
@@ -141,7 +141,7 @@
                     shard=shard,
                     model=request.model,
                     prompt=request.prompt,
-                    repeatable=repeatable,
+                    retryable=repeatable,
                     excluded=unusable,
                     ignore_bound=shard == ranked[-1],
                     cached_at=cached_at,
--- a/dotterelpaddle/tests/owners/harness.py
+++ b/dotterelpaddle/tests/owners/harness.py
@@ -140,7 +140,7 @@
                 shard=shard,
                 model=ModelId("m"),
                 prompt=request.prompt,
-                repeatable=True,
+                retryable=True,
                 excluded=excluded,
                 ignore_bound=ignore_bound,
                 cached_at=cached_at,
--- a/dotterelpaddle/tests/owners/test_messages.py
+++ b/dotterelpaddle/tests/owners/test_messages.py
@@ -38,7 +38,7 @@
     shard=FailureDomain("here"),
     model=ModelId("m"),
     prompt=(PromptPart(digest="5c1e", tokens=800), PromptPart(digest="e4", tokens=20)),
-    repeatable=True,
+    retryable=True,
     excluded=frozenset({B}),
     ignore_bound=False,
     cached_at=A,
