--- a/dotterelpaddle/forwarding/interface.py
+++ b/dotterelpaddle/forwarding/interface.py
@@ -1,4 +1,4 @@
-"""What forwarding asks of the adapter to its surroundings."""
+"""Interfaces that the platform adapters implement for forwarding."""
 
 from __future__ import annotations
 
@@ -27,16 +27,16 @@
     )
 
 Headers = list[tuple[bytes, bytes]]
-"""Names in lower case and values, in order."""
+"""Pairs of a name in lower case and a value, in order."""
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class PromptPart:
-    """A part of a prompt that engines cache.
+    """A part of a prompt, the unit that engines cache.
 
     Attributes:
-        digest: Its digest; equal parts have equal digests.
-        tokens: Its length.
+        digest: Digest of the part; equal parts have equal digests.
+        tokens: Length of the part in tokens.
     """
 
     digest: str
@@ -44,15 +44,15 @@
 
 
 class HasPrompt(Protocol):
-    """What a placer needs to know of a request."""
+    """The properties of a request that decide its placement."""
 
     @property
     def model(self) -> ModelId:
-        """Model that it asks for, empty for none."""
+        """Model that the request asks for, empty for none."""
 
     @property
     def prompt(self) -> tuple[PromptPart, ...]:
-        """Parts of its prompt, in order; the last is its own."""
+        """Parts of the prompt, in order; the last is unique to the request."""
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
@@ -60,16 +60,16 @@
     """A caller's request, decoded as far as forwarding needs.
 
     Attributes:
-        request_id: The caller's name of this attempt; endpoints echo it.
+        request_id: Id that the caller gave this attempt; endpoints echo it.
         method: HTTP method.
         host: Host header without a port, in lower case.
         path: Path without the query, which selects the route.
-        target: Path and query as they came.
-        headers: End-to-end headers that go on as they came.
+        target: Path and query, unchanged.
+        headers: End-to-end headers, which the router forwards unchanged.
         key: The caller's key, empty for none.
-        time_left: Seconds that the caller waits from now, None if unsaid.
+        time_left: Seconds from now that the caller waits, None if it names none.
         model: Model that the caller asks for, empty for none.
-        prompt: Parts of the prompt, in order; the last is the request's own.
+        prompt: Parts of the prompt, in order; the last is unique to the request.
         last_event_id: Id of the last event that the caller has, empty for none.
     """
 
@@ -92,15 +92,16 @@
 
     Attributes:
         status: HTTP status.
-        headers: End-to-end headers, to be passed on as they came.
-        request_id: The request that it answers, empty if it does not say.
-        has_origin_proof: Whether it bears an endpoint's proof of origin.
-        not_executed: Whether it promises that the request has not run.
-        wrong_endpoint: Whether another endpoint than the one meant answered.
-        has_unexpected_encoding: Whether the body is not as callers asked for it.
-        leaving: Whether the endpoint says that it leaves.
-        retry_after: Seconds for which the endpoint asks to be left alone, None if it
-            does not.
+        headers: End-to-end headers, which the router forwards unchanged.
+        request_id: Id of the request that it answers, empty if it names none.
+        has_origin_proof: Whether it carries an endpoint's proof of origin.
+        not_executed: Whether the endpoint guarantees that the request has not run.
+        wrong_endpoint: Whether an endpoint other than the addressed one answered.
+        has_unexpected_encoding: Whether the body has an encoding that callers did
+            not ask for.
+        leaving: Whether the endpoint reports that it is leaving.
+        retry_after: Seconds for which the endpoint asks for no more requests, None
+            if it does not.
     """
 
     status: int
@@ -116,15 +117,15 @@
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class RequestMetadata:
-    """What an endpoint is told beside the caller's own headers.
+    """What the router sends to an endpoint besides the caller's own headers.
 
     Attributes:
-        endpoint: Name of the endpoint that is meant; any other one must refuse.
-        time_left: Seconds after which nobody waits any more.
+        endpoint: Name of the addressed endpoint; any other one must refuse.
+        time_left: Seconds until the caller's deadline.
         account: The client account, None on public routes.
         priority: Priority, 0 is the highest; None for the endpoint's default.
         last_event_id: Id of the last event that the caller has, empty for none.
-        fetch_from: Endpoint from whose cache to fetch what it has of the prompt.
+        fetch_from: Address of an endpoint from whose cache to fetch prompt parts.
     """
 
     endpoint: EndpointName
@@ -136,19 +137,19 @@
 
 
 class WireCodec(Protocol):
-    """Translates between the wire and forwarding's own types."""
+    """Translates between the wire format and the types of forwarding."""
 
     def decode_request(self, *, scope: Mapping[str, Any]) -> ForwardRequest:
         """Decode the head of a caller's request.
 
         Raises:
-            MalformedRequest: If it can't be understood.
+            MalformedRequest: If the head can't be decoded.
         """
 
     def encode_headers(
         self, *, request: ForwardRequest, metadata: RequestMetadata
     ) -> Headers:
-        """Make the headers of a request to an endpoint."""
+        """Return the headers of a request to an endpoint."""
 
     def decode_answer(
         self, *, status: int, headers: Sequence[tuple[bytes, bytes]]
@@ -158,15 +159,15 @@
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class OperatorUpdate:
-    """What the operator wants at some moment, or what changed up to it.
+    """A snapshot or a delta of the operator's configuration and evacuations.
 
     Attributes:
-        revision: Position in the order of changes up to which this is known.
-        configuration: The configuration, None if nothing new or usable is there.
-        evacuations: Evacuations that there are, or have begun or ended.
-        undecodable: Failure domains whose evacuation can't be made out, as its row can't
-            be decoded: nothing changes for them.
-        is_snapshot: Whether there are no others.
+        revision: Position in the order of changes up to which the update goes.
+        configuration: The configuration, None if there is no new or usable one.
+        evacuations: All evacuations in a snapshot, else those begun or ended.
+        undecodable: Failure domains whose evacuation row can't be decoded; their
+            evacuation state stays as it is.
+        is_snapshot: Whether `evacuations` lists all evacuations.
     """
 
     revision: Revision
@@ -178,14 +179,14 @@
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class EndpointsUpdate:
-    """Endpoints' entries at some moment, or what changed up to it.
+    """A snapshot or a delta of the endpoints' entries.
 
     Attributes:
-        revision: Position in the order of changes up to which this is known.
-        entries: Entries that are there, or have changed.
-        removed: Names whose entries are gone, with the revision of that; empty in
-            a whole list.
-        is_snapshot: Whether entries that are not here do not exist.
+        revision: Position in the order of changes up to which the update goes.
+        entries: All entries in a snapshot, else the changed ones.
+        removed: Names of removed entries, each with the revision of the removal;
+            empty in a snapshot.
+        is_snapshot: Whether `entries` lists all entries.
     """
 
     revision: Revision
@@ -195,7 +196,7 @@
 
 
 class DocumentDecoder(Protocol):
-    """Decodes what the source holds; routers pass it on as it is."""
+    """Decodes the documents of the source, which routers pass on unchanged."""
 
     def configuration(self, *, document: bytes) -> FleetConfiguration:
         """Decode a configuration.
@@ -219,10 +220,10 @@
     """Parts of prompts that an endpoint has cached.
 
     Attributes:
-        endpoint: The start of it that answered, which may be a later one than that
+        endpoint: The incarnation that answered, which may be later than the one
             whose entry is known.
-        parts: Their tags.
-        leaving: Whether that start says that it leaves.
+        parts: Tags of the parts.
+        leaving: Whether that incarnation reports that it is leaving.
     """
 
     endpoint: EndpointId
@@ -231,49 +232,49 @@
 
 
 class CacheReader(Protocol):
-    """Asks endpoints for what they have cached."""
+    """Queries endpoints for the contents of their caches."""
 
     async def cached_parts(self, *, entry: EndpointEntry) -> CachedParts:
         """Return the parts of prompts that an endpoint has cached.
 
         Raises:
-            EndpointError: If it gives no usable answer in time.
+            EndpointError: If the endpoint gives no usable answer in time.
         """
 
 
 class PeerStatus(Protocol):
-    """What other routers say of the source."""
+    """What other routers report about the source."""
 
     @property
     def is_platform_reader(self) -> bool:
-        """Whether this router reads from the source for those that it hears."""
+        """Whether this router reads the source on behalf of its peers."""
 
     @property
     def receives_configurations(self) -> bool:
-        """Whether others pass configurations on, so that this router need not ask."""
+        """Whether peers pass on configurations, so that this router need not poll."""
 
     @property
     def receives_endpoints(self) -> bool:
-        """The same of endpoints."""
+        """Whether peers pass on endpoints, so that this router need not poll."""
 
     @property
     def configuration_age(self) -> float:
-        """Seconds since one that has the same version heard from the source."""
+        """Seconds since a peer with the same version last read the source."""
 
     @property
     def endpoints_age(self) -> float:
-        """Seconds since one that knows the same endpoints heard from the source."""
+        """Seconds since a peer with the same endpoints last read the source."""
 
     @property
     def endpoints_outdated(self) -> bool:
-        """Whether another router knows other endpoints, and later ones."""
+        """Whether a peer has different endpoints as of a later revision."""
 
 
 class Source(Protocol):
-    """Where configuration and endpoints' entries are kept.
+    """The store of the configuration and the endpoints' entries.
 
     All methods raise PlatformError if there is no usable answer in time, and
-    HistoryLost if changes since `after` can't be told one by one any more.
+    HistoryLost if the source no longer has the single changes since `after`.
     """
 
     async def configuration(self) -> OperatorUpdate:
@@ -282,10 +283,10 @@
     async def configuration_after(
         self, *, after: Revision, wait: float
     ) -> OperatorUpdate:
-        """Wait for a change of the configuration, some seconds at most."""
+        """Wait up to `wait` seconds for a change of the configuration."""
 
     async def endpoints(self) -> EndpointsUpdate:
         """Read all endpoints' entries."""
 
     async def endpoints_after(self, *, after: Revision, wait: float) -> EndpointsUpdate:
-        """Wait for changes of endpoints' entries, some seconds at most."""
+        """Wait up to `wait` seconds for changes of the endpoints' entries."""
--- a/dotterelpaddle/forwarding/model.py
+++ b/dotterelpaddle/forwarding/model.py
@@ -1,4 +1,4 @@
-"""What a router knows of its fleet: configuration and endpoints in force."""
+"""Data model of a fleet: its configuration and the entries of its endpoints."""
 
 from __future__ import annotations
 
@@ -22,14 +22,14 @@
     )
 
 UNKNOWN_INCARNATION = Incarnation(0)
-"""Incarnation of an endpoint that does not say when it started."""
+"""Incarnation of an endpoint that does not report its start time."""
 
-START_MARK = "@"
-"""Stands between an endpoint's name and its start."""
+INCARNATION_SEPARATOR = "@"
+"""Separates the name and the incarnation in an endpoint id."""
 
 
 class RequestKind(Enum):
-    """What the requests of a route are, which decides what may be repeated."""
+    """Kind of a route's requests, which decides whether they may be retried."""
 
     IDEMPOTENT = "idempotent"
     NON_IDEMPOTENT = "non_idempotent"
@@ -37,7 +37,7 @@
 
 
 class EndpointState(Enum):
-    """Whether an endpoint takes new work."""
+    """Whether an endpoint accepts new requests."""
 
     READY = "ready"
     DRAINING = "draining"
@@ -48,8 +48,8 @@
     """One of the services among which a route's requests are split.
 
     Attributes:
-        service: Its name.
-        weight: Its part of the requests, relative to the others' weights.
+        service: Name of the service.
+        weight: Its share of the requests, relative to the weights of the others.
     """
 
     service: ServiceName
@@ -58,24 +58,24 @@
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class ForwardRoute:
-    """Where requests of one host and path prefix go, and how.
+    """Target and options of the requests with one host and path prefix.
 
     Attributes:
-        name: Its name.
-        host: Host header that it matches, in lower case.
-        prefix: Path prefix that it matches, with a slash at both ends.
-        kind: What its requests are.
+        name: Name of the route.
+        host: Host header that the route matches, in lower case.
+        prefix: Path prefix that the route matches, with a slash at both ends.
+        kind: Kind of its requests.
         services: The services among which its requests are split.
-        timeout: Seconds until a caller gets a final answer, whatever it is.
+        timeout: Seconds until a caller gets a final answer, an error included.
         latency_objective: Seconds to the answer, or to a stream's first event, that
             callers expect.
-        max_attempts: Endpoints to which one request may be sent.
+        max_attempts: Maximum number of endpoints to which one request is sent.
         priority: Priority, 0 is the highest.
         public: Whether callers need no key.
-        resumable: Whether a stream may go on at another endpoint.
-        gap_objective: Longest seconds between two events of a stream that
-            callers expect, 0 where there is none.
-        regions: Where its requests may run; empty for anywhere.
+        resumable: Whether another endpoint can continue a stream.
+        gap_objective: Maximum seconds between two events of a stream that
+            callers expect, 0 if the route states none.
+        regions: Regions in which its requests may run; empty for all.
     """
 
     name: str
@@ -94,19 +94,19 @@
 
     @property
     def retryable(self) -> bool:
-        """Whether a request may be sent again after it may have run."""
+        """Whether a request may be retried after an endpoint may have run it."""
         return self.kind is RequestKind.IDEMPOTENT or self.resumable
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class CallerLimits:
-    """What a caller may send.
+    """Limits on the requests and connections of callers.
 
     Attributes:
-        max_header_bytes: Longest head of a request.
-        max_body_bytes: Longest body.
-        header_timeout: Seconds to send a head.
-        idle_timeout: Seconds that a connection may stay without a request.
+        max_header_bytes: Maximum size of a request's head.
+        max_body_bytes: Maximum size of a request's body.
+        header_timeout: Seconds within which a caller must send a head.
+        idle_timeout: Seconds that a connection may stay open without a request.
     """
 
     max_header_bytes: int
@@ -117,12 +117,12 @@
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class ClientAccount:
-    """A client account as routes need to know it.
+    """The fields of a client account that forwarding uses.
 
     Attributes:
-        name: Its name, which endpoints are told.
-        priority: Its priority, which goes before a route's; None for the route's.
-        regions: Where its requests may run; empty for anywhere.
+        name: Name of the account, which the router passes to endpoints.
+        priority: Priority that overrides the route's; None for the route's.
+        regions: Regions in which its requests may run; empty for all.
     """
 
     name: AccountId
@@ -132,11 +132,11 @@
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class SlowStart:
-    """What a service says of its cold endpoints.
+    """Slow-start options of a service.
 
     Attributes:
         duration: Seconds for which an endpoint is cold after its start.
-        rate: Requests a second that it bears meanwhile.
+        rate: Requests per second that a cold endpoint can handle.
     """
 
     duration: float
@@ -148,12 +148,12 @@
     """One version of the whole configuration.
 
     Attributes:
-        version: Grows with each accepted change.
+        version: Version number, which increases with each accepted change.
         routes: All routes.
-        limits: What callers may send.
-        accounts_by_key: Client accounts by key, None where no keys are asked for.
-        slow_starts: Services whose endpoints are cold after their start.
-        document: The configuration as its source holds it, for other routers.
+        limits: Limits on callers.
+        accounts_by_key: Client accounts by key, None if callers need no keys.
+        slow_starts: Slow-start options of the services that have any.
+        document: The encoded configuration, which routers pass on unchanged.
     """
 
     version: int
@@ -197,30 +197,30 @@
 
     @property
     def name(self) -> EndpointName:
-        """The name under which it registered."""
+        """The name under which the endpoint registered."""
         return split_endpoint_id(endpoint=self.endpoint)[0]
 
     @property
     def precedence(self) -> tuple[Incarnation, Revision]:
-        """Which of two entries of one name is in force: the greater one."""
+        """Sort key: of two entries of one name, the one with the greater key wins."""
         return self.incarnation, self.revision
 
 
 def endpoint_id(*, name: EndpointName, incarnation: Incarnation) -> EndpointId:
-    """Name one start of an endpoint.
+    """Return the id of one incarnation of an endpoint.
 
-    All that is known of an endpoint (load, results, cached parts, connections) is
-    kept by this name. An endpoint that starts again holds nothing from before, and
-    so nothing that was known of its earlier start counts for it.
+    Routers key all that they know of an endpoint (load, results, cached parts,
+    connections) by this id. A restarted endpoint has lost its earlier state, so
+    nothing known of an earlier incarnation may apply to it.
     """
-    if incarnation == UNKNOWN_INCARNATION and START_MARK not in name:
+    if incarnation == UNKNOWN_INCARNATION and INCARNATION_SEPARATOR not in name:
         return EndpointId(name)
-    return EndpointId(f"{name}{START_MARK}{incarnation}")
+    return EndpointId(f"{name}{INCARNATION_SEPARATOR}{incarnation}")
 
 
 def split_endpoint_id(*, endpoint: EndpointId) -> tuple[EndpointName, Incarnation]:
-    """Return the name under which an endpoint registered, and its start."""
-    name, mark, incarnation = endpoint.rpartition(START_MARK)
-    if not mark:
+    """Return an endpoint's registered name and its incarnation."""
+    name, separator, incarnation = endpoint.rpartition(INCARNATION_SEPARATOR)
+    if not separator:
         return EndpointName(endpoint), UNKNOWN_INCARNATION
     return EndpointName(name), Incarnation(int(incarnation))
--- a/dotterelpaddle/forwarding/view.py
+++ b/dotterelpaddle/forwarding/view.py
@@ -1,8 +1,8 @@
 """The configuration and endpoints that one router acts on.
 
-Nothing in it goes back while the process lives: a configuration is replaced by
-a higher version only, an endpoint's entry by one of a later start or of a later
-revision of the same start only, whichever way the news comes in.
+The view never goes back while the process lives. Only a higher version replaces a
+configuration, and only a later incarnation, or a later revision of the same
+incarnation, replaces an endpoint's entry, whatever source the update comes from.
 """
 
 from __future__ import annotations
@@ -43,16 +43,16 @@
 
 STARTUP_WAIT_SECONDS = 0.4
 """Seconds after a router's start until which requests wait for configuration and
-endpoints; the platform answers in 4 ms when all is well. Later ones are refused at
-once: a router that starts behind a cut may know nothing for as long as that lasts."""
+endpoints; the platform normally answers in 4 ms. The router refuses later requests at
+once: during a network partition it may have no configuration for a long time."""
 
 
 class FleetView:
-    """What this router acts on.
+    """The configuration and endpoints that this router acts on.
 
     Args:
         clock: Monotonic clock.
-        leaving: Endpoints that have said in an answer that they leave.
+        leaving: Endpoints that have reported in an answer that they are leaving.
     """
 
     def __init__(
@@ -71,18 +71,18 @@
         self._ready: dict[ServiceName, tuple[EndpointEntry, ...]] = {}
         self._endpoints_revision: Revision | None = None
         self._endpoints_tag = entries_tag(entries=())
-        self._changes_from = Revision(0)
+        self._deltas_from = Revision(0)
         self._started_at = clock()
         self._completed = anyio.Event()
 
     @property
     def configuration(self) -> FleetConfiguration | None:
-        """The configuration in force, None before the first one came."""
+        """The configuration in force, None before the first one."""
         return self._configuration
 
     @property
     def limits(self) -> CallerLimits | None:
-        """What callers may send, None before the first configuration."""
+        """Limits on callers, None before the first configuration."""
         return self._configuration.limits if self._configuration else None
 
     @property
@@ -92,14 +92,15 @@
 
     @property
     def endpoints_revision(self) -> Revision | None:
-        """Revision up to which endpoints are known, None before the first list."""
+        """Revision up to which endpoints are known, None before the first snapshot."""
         return self._endpoints_revision
 
     @property
     def endpoints_tag(self) -> int:
-        """32 bits of a digest of the entries, their revisions left out.
+        """32 bits of a digest of the entries without their revisions.
 
-        Routers with the same one act alike, though heartbeats change revisions.
+        Routers with equal tags have equivalent entries; heartbeats change only the
+        revisions.
         """
         return self._endpoints_tag
 
@@ -110,11 +111,11 @@
 
     @property
     def complete(self) -> bool:
-        """Whether there is enough to serve requests."""
+        """Whether the view holds a configuration and endpoints."""
         return self._configuration is not None and self._endpoints_revision is not None
 
     async def wait_until_complete(self) -> None:
-        """Wait until there is enough to serve requests, shortly after the start."""
+        """Wait until the view is complete, at most until shortly after the start."""
         if self.complete:
             return
         with anyio.move_on_after(STARTUP_WAIT_SECONDS - self.age):
@@ -122,29 +123,30 @@
 
     @property
     def entries(self) -> tuple[EndpointEntry, ...]:
-        """All entries that are there."""
+        """All registered entries."""
         return tuple(self._entries.values())
 
     @property
     def leaving(self) -> LeavingEndpoints:
-        """Endpoints that have said in an answer that they leave."""
+        """Endpoints that have reported in an answer that they are leaving."""
         return self._leaving
 
     @property
     def evacuations(self) -> EvacuationTracker:
-        """Failure domains whose endpoints get no new work."""
+        """Failure domains whose endpoints get no new requests."""
         return self._evacuations
 
     @property
     def slow_starts(self) -> Mapping[ServiceName, SlowStart]:
-        """What services say of their cold endpoints."""
+        """Slow-start options by service."""
         return self._configuration.slow_starts if self._configuration else {}
 
     @property
     def routed_entries(self) -> tuple[EndpointEntry, ...]:
-        """Entries of services that the configuration sends requests to.
+        """Entries of services to which the configuration routes requests.
 
-        Others may be by another writer: they say nothing of the fleet's endpoints.
+        Another writer may have added the others, so they are no evidence about the
+        fleet's endpoints.
         """
         if self._configuration is None:
             return self.entries
@@ -155,30 +157,30 @@
         )
 
     def on_entry(self, observer: Callable[[EndpointEntry], None]) -> None:
-        """Let somebody be told of each entry that comes in force."""
+        """Set the observer that the view calls with each entry that it accepts."""
         self._entry_observer = observer
 
     def current_endpoint_id(self, name: EndpointName) -> EndpointId:
-        """Return the start of an endpoint that is in force."""
+        """Return the id of an endpoint's current incarnation."""
         entry = self._entries.get(name)
         if entry is None:
             return endpoint_id(name=name, incarnation=UNKNOWN_INCARNATION)
         return entry.endpoint
 
     def endpoints_since(self, *, revision: Revision | None) -> EndpointsUpdate | None:
-        """Tell what has changed since a revision; heartbeats are no change.
+        """Return what has changed since a revision, heartbeats excluded.
 
         Args:
-            revision: Up to which the asking one knows, None for nothing.
+            revision: Revision up to which the requester is current, None for none.
 
         Returns:
-            The changes, or the whole list if they are not known one by one; None
-            before the first list.
+            A delta, or a snapshot if the view no longer has the single changes;
+            None before the first snapshot.
         """
         known = self._endpoints_revision
         if known is None:
             return None
-        if revision is None or revision < self._changes_from:
+        if revision is None or revision < self._deltas_from:
             return EndpointsUpdate(
                 revision=known, entries=self.entries, is_snapshot=True
             )
@@ -200,20 +202,20 @@
         return None
 
     def registered(self, *, service: ServiceName) -> tuple[EndpointEntry, ...]:
-        """Endpoints of a service that take new work as their entries say."""
+        """Endpoints of a service that accept new requests, by their entries alone."""
         return self._ready.get(service, ())
 
     def ready(self, *, service: ServiceName) -> tuple[EndpointEntry, ...]:
-        """Endpoints of a service that take new work, as far as anybody has heard."""
-        staying = self._leaving.exclude_leaving(
+        """Endpoints of a service that are neither leaving nor evacuated."""
+        available = self._leaving.exclude_leaving(
             entries=self.registered(service=service)
         )
-        return self._evacuations.exclude_evacuated(entries=staying)
+        return self._evacuations.exclude_evacuated(entries=available)
 
     def last_resort(self, *, service: ServiceName) -> tuple[EndpointEntry, ...]:
         """Endpoints that may still serve if no other can.
 
-        Their entries have just gone, or an answer has just said that they leave.
+        Their entries were just removed, or they just reported that they are leaving.
         """
         gone = self._removed.still_serving(service=service)
         leaving = self._leaving.still_serving(entries=self.registered(service=service))
@@ -222,20 +224,21 @@
         )
 
     def note_platform_recovery(self) -> None:
-        """Note that the platform is back; entries may be missing for a while."""
+        """Record that the platform is back; entries may be missing for a while."""
         self._removed.note_platform_recovery()
 
     def apply_operator_update(self, *, update: OperatorUpdate) -> None:
-        """Take in what the operator wants.
+        """Apply a configuration and evacuations of the operator.
 
-        Evacuations come first: who has a configuration serves, and knows them by then.
+        Evacuations come first, so that a router never serves by a configuration
+        without them.
         """
         if update.is_snapshot:
-            told = frozenset(each.failure_domain for each in update.evacuations)
+            listed = frozenset(each.failure_domain for each in update.evacuations)
             kept = self._evacuations.domains & update.undecodable
             self._evacuations.apply_snapshot(
                 snapshot=EvacuationSnapshot(
-                    revision=update.revision, domains=told | kept
+                    revision=update.revision, domains=listed | kept
                 )
             )
         else:
@@ -246,10 +249,10 @@
             self.apply_configuration(configuration=update.configuration)
 
     def apply_configuration(self, *, configuration: FleetConfiguration) -> bool:
-        """Put a configuration in force unless a later one is.
+        """Put a configuration in force unless the current version is as high.
 
         Returns:
-            Whether it is in force now.
+            Whether the configuration is in force now.
         """
         if configuration.version <= self.version:
             return False
@@ -262,14 +265,14 @@
         self._configuration = configuration
         self._routes = routes_by_host(routes=configuration.routes)
         self._routed_services = routed_services(routes=configuration.routes)
-        self._note_complete()
+        self._signal_complete()
         return True
 
     def apply_endpoints_update(self, *, update: EndpointsUpdate) -> bool:
-        """Take in entries, or changes of them.
+        """Apply a snapshot or a delta of entries.
 
         Returns:
-            Whether anything changed here.
+            Whether the view changed.
         """
         changed = False
         for entry in update.entries:
@@ -283,23 +286,23 @@
                     changed = self._remove(name, update.revision) or changed
         known = self._endpoints_revision
         if known is None:
-            self._changes_from = update.revision
+            self._deltas_from = update.revision
         if known is None or update.revision > known:
             self._endpoints_revision = update.revision
-        self._note_complete()
+        self._signal_complete()
         if changed:
-            self._index()
-        forgotten = self._removed.expire_tombstones()
-        if forgotten is not None:
-            self._changes_from = max(self._changes_from, forgotten)
+            self._rebuild_index()
+        expired_up_to = self._removed.expire_tombstones()
+        if expired_up_to is not None:
+            self._deltas_from = max(self._deltas_from, expired_up_to)
         return changed
 
     def expire_holds(self) -> None:
-        """Drop endpoints that were held for the time after the platform's return."""
+        """Drop endpoints whose hold after a platform recovery has expired."""
         if self._removed.expire_holds():
-            self._index()
+            self._rebuild_index()
 
-    def _note_complete(self) -> None:
+    def _signal_complete(self) -> None:
         if self.complete:
             self._completed.set()
 
@@ -338,7 +341,7 @@
         self._removed.add(entry=entry, revision=revision)
         return True
 
-    def _index(self) -> None:
+    def _rebuild_index(self) -> None:
         ready: dict[ServiceName, list[EndpointEntry]] = {}
         for entry in self._entries.values():
             if entry.state is EndpointState.READY:
