--- a/dotterelpaddle/forwarding/backoffs.py
+++ b/dotterelpaddle/forwarding/backoffs.py
@@ -1,4 +1,4 @@
-"""Endpoints that asked this router to leave them alone for a while."""
+"""Endpoints that asked this router to send no requests for a while."""
 
 from __future__ import annotations
 
@@ -16,12 +16,12 @@
 log = get_logger(name=__name__)
 
 MAX_BACKOFF_SECONDS = 300.0
-"""Seconds for which an endpoint is left alone at most, whatever it asks for: an absurd
-time would take it out of service for good."""
+"""Maximum backoff, whatever an endpoint asks for: an absurd time would take it out of
+service for good."""
 
 
 class EndpointBackoffs:
-    """Remembers until when endpoints want nothing from this router.
+    """Tracks until when endpoints want no requests from this router.
 
     Args:
         clock: Monotonic clock.
@@ -32,26 +32,24 @@
         self._until: dict[EndpointId, float] = {}
 
     def record(self, *, endpoint: EndpointId, seconds: float) -> None:
-        """Note that an endpoint asks for quiet from now on."""
-        bounded = min(seconds, MAX_BACKOFF_SECONDS)
-        until = self._clock() + bounded
+        """Record that an endpoint asks for a backoff from now on."""
+        capped = min(seconds, MAX_BACKOFF_SECONDS)
+        until = self._clock() + capped
         self._until[endpoint] = max(until, self._until.get(endpoint, until))
-        log.info(
-            "endpoint_quiet", endpoint=endpoint, seconds=bounded, asked_for=seconds
-        )
+        log.info("endpoint_quiet", endpoint=endpoint, seconds=capped, asked_for=seconds)
 
     def is_backing_off(self, *, endpoint: EndpointId) -> bool:
-        """Tell whether an endpoint wants nothing now."""
+        """Return whether an endpoint's backoff is in effect."""
         until = self._until.get(endpoint)
         return until is not None and until > self._clock()
 
     def shortest_wait(self, *, entries: Iterable[EndpointEntry]) -> float | None:
-        """Seconds until the first of some endpoints may be asked, None if all may."""
+        """Seconds until the first backoff of these endpoints ends, None without any."""
         now = self._clock()
         untils = [self._until.get(entry.endpoint, 0.0) for entry in entries]
         return min((until - now for until in untils if until > now), default=None)
 
     def retain(self, *, endpoints: frozenset[EndpointId]) -> None:
-        """Forget all endpoints but some."""
+        """Delete the backoffs of all endpoints except these."""
         for endpoint in self._until.keys() - endpoints:
             del self._until[endpoint]
--- a/dotterelpaddle/forwarding/cold.py
+++ b/dotterelpaddle/forwarding/cold.py
@@ -1,8 +1,8 @@
-"""Endpoints that have just started, or turned cold, and bear few requests a second.
+"""Endpoints that have just started, or become cold, and can handle few requests.
 
-What one of them gets is counted over all routers, whether they hear each other or not.
-So each decision spends from a part of the allowance that is its own: the owner of the
-endpoint from one, routers that choose alone from another, divided among them.
+The bound on a cold endpoint's request rate holds for all routers together, even if
+they can't reach each other. So each kind of decider has its own share of the bound: the
+owner of the endpoint has one, and routers that choose without an owner divide another.
 """
 
 from __future__ import annotations
@@ -26,28 +26,28 @@
 log = get_logger(name=__name__)
 
 WINDOW_SECONDS = 1.2
-"""Seconds in which requests are counted together: the second that counts, and the time
-by which two of them may come nearer to each other on their way."""
+"""Seconds over which requests are counted: the second to which the bound applies, plus
+the time by which the network may move two requests closer together."""
 
 OWNER_SHARE = 1 / 3
-"""Part of the allowance that an owner grants: while one follows another both may."""
+"""Share of the bound that an owner grants: during a failover two owners may grant."""
 
 OWNERLESS_SHARE = 2 / 3
-"""Part that few routers divide among them where there are no owners."""
+"""Share of the bound that routers divide among them where there are no owners."""
 
 RANDOM_DRAW_SHARE = 1 / 3
-"""Part that more routers than requests use where they know no owners: which of them
-send one is drawn, and may be twice as many by chance, beside an owner as well."""
+"""Share of the bound where there are no owners and more routers than requests: a random
+draw decides which routers send one. By chance twice as many may, besides an owner."""
 
 SETTLING_SECONDS = 2.0
-"""Seconds after its start in which a router may know few of the others, and sends
-nothing to cold endpoints by itself."""
+"""Seconds after its start in which a router may know few of the others, so it sends
+nothing to cold endpoints without an owner."""
 
 _SCALE = 2.0**-64
 
 
 class Decider(Enum):
-    """Who decides for a request."""
+    """Kind of router that places a request."""
 
     OWNER = "owner"
     NON_OWNER = "alone_beside_owners"
@@ -55,13 +55,13 @@
 
 
 class ColdEndpoints:
-    """Knows which endpoints are cold, and counts what this router sends there.
+    """Tracks cold endpoints and limits the requests that this router sends them.
 
     Args:
-        router: This router.
-        bounds: What cold endpoints may get, None without a bound.
-        view: The endpoints in force, and what their services say of cold ones.
-        router_count: Tells how many routers there are.
+        router: Id of this router.
+        bounds: Bounds on the rate of cold endpoints, None for no bound.
+        view: The endpoints in force and the slow-start options of their services.
+        router_count: Returns the number of routers.
         clock: Monotonic clock.
     """
 
@@ -87,53 +87,53 @@
 
     @property
     def _any_cold(self) -> bool:
-        """Whether any endpoint can be cold, which most of the time none is."""
+        """Whether any endpoint can be cold; cheap, as usually none is."""
         now = self._clock()
-        longest = max(
+        max_duration = max(
             (each.duration for each in self._view.slow_starts.values()), default=0
         )
-        back_at = self._view.evacuations.last_ended_at
-        return now < max(self._last_until, back_at + longest)
+        evacuation_ended_at = self._view.evacuations.last_ended_at
+        return now < max(self._last_until, evacuation_ended_at + max_duration)
 
     def retain(self, *, endpoints: frozenset[EndpointId]) -> None:
-        """Forget all endpoints but some."""
+        """Delete the state of all endpoints except these."""
         for endpoint in self._until.keys() - endpoints:
             del self._until[endpoint]
         for endpoint in self._sent.keys() - endpoints:
             del self._sent[endpoint]
 
     def is_cold(self, *, entry: EndpointEntry) -> bool:
-        """Tell whether an endpoint is cold, as far as is known."""
+        """Return whether an endpoint is cold, as far as this router knows."""
         now = self._clock()
         if self._until.get(entry.endpoint, 0.0) > now:
             return True
         slow_start = self._view.slow_starts.get(entry.service)
         if slow_start is None:
             return False
-        # Its entry says it a heartbeat later than work would come back.
+        # Requests would return from an evacuation a heartbeat before its entry.
         domain = entry.failure_domain
-        back_at = self._view.evacuations.ended_at(failure_domain=domain)
-        return now - back_at < slow_start.duration
+        evacuation_ended_at = self._view.evacuations.ended_at(failure_domain=domain)
+        return now - evacuation_ended_at < slow_start.duration
 
     def with_capacity(
         self, *, entries: Sequence[EndpointEntry], decider: Decider
     ) -> Sequence[EndpointEntry]:
-        """Leave out cold endpoints that have got their part."""
+        """Return the entries without cold endpoints that have reached their bound."""
         if self._bounds is None or not self._any_cold:
             return entries
         return [
             entry
             for entry in entries
-            if not self.is_cold(entry=entry) or self._has_room(entry, decider)
+            if not self.is_cold(entry=entry) or self._has_capacity(entry, decider)
         ]
 
     def record_request(self, *, entry: EndpointEntry) -> None:
-        """Count a request that is sent to an endpoint, or granted there."""
+        """Count a request that this router sends to an endpoint, or grants there."""
         if self._bounds is not None and self.is_cold(entry=entry):
-            self._recent(entry.endpoint).append(self._clock())
+            self._recent_requests(entry.endpoint).append(self._clock())
 
     def _note(self, entry: EndpointEntry) -> None:
-        """Take in what an entry says of its endpoint."""
+        """Record how long an endpoint is still cold by its entry."""
         if self._bounds is None or not entry.cold_left:
             return
         until = self._clock() + entry.cold_left
@@ -143,17 +143,19 @@
         self._until[entry.endpoint] = max(until, known)
         self._last_until = max(until, self._last_until)
 
-    def _has_room(self, entry: EndpointEntry, decider: Decider) -> bool:
-        return len(self._recent(entry.endpoint)) < self._part(entry, decider)
+    def _has_capacity(self, entry: EndpointEntry, decider: Decider) -> bool:
+        return len(self._recent_requests(entry.endpoint)) < self._allowed_requests(
+            entry, decider
+        )
 
-    def _recent(self, endpoint: EndpointId) -> deque[float]:
+    def _recent_requests(self, endpoint: EndpointId) -> deque[float]:
         sent = self._sent.setdefault(endpoint, deque())
         while sent and sent[0] <= self._clock() - WINDOW_SECONDS:
             sent.popleft()
         return sent
 
-    def _part(self, entry: EndpointEntry, decider: Decider) -> int:
-        """Requests in a second that this router may send or grant."""
+    def _allowed_requests(self, entry: EndpointEntry, decider: Decider) -> int:
+        """Requests per window that this router may send or grant."""
         slow_start = self._view.slow_starts.get(entry.service)
         if self._bounds is None or slow_start is None:
             return 0
@@ -164,15 +166,15 @@
             case Decider.NON_OWNER:
                 return 0
             case Decider.OWNERLESS:
-                return self._own_part(entry, bound)
+                return self._ownerless_allowance(entry, bound)
 
-    def _own_part(self, entry: EndpointEntry, bound: float) -> int:
-        """This router's part of what all of them may send where there are no owners."""
+    def _ownerless_allowance(self, entry: EndpointEntry, bound: float) -> int:
+        """This router's share of the requests where there are no owners."""
         if self._clock() - self._started_at < SETTLING_SECONDS:
             return 0
         routers = self._router_count()
-        whole = int(OWNERLESS_SHARE * bound / routers)
-        if whole:
-            return whole
+        per_router = int(OWNERLESS_SHARE * bound / routers)
+        if per_router:
+            return per_router
         draw = digest(text=f"{self._router}/{entry.endpoint}") * _SCALE
         return int(draw < RANDOM_DRAW_SHARE * bound / routers)
--- a/dotterelpaddle/forwarding/health.py
+++ b/dotterelpaddle/forwarding/health.py
@@ -1,4 +1,4 @@
-"""Endpoints that are passed over because requests to them fail.
+"""Ejects endpoints whose requests fail.
 
 Only results of requests count: a health check can pass while requests fail.
 """
@@ -20,47 +20,48 @@
 log = get_logger(name=__name__)
 
 MIN_EJECTION_SECONDS = 1.0
-"""Seconds that an endpoint is passed over after its first hard failure.
+"""Seconds of the first ejection after a hard failure.
 
-A dead endpoint stays listed for three heartbeats, about four seconds; a few
-trials in that time cost a few requests a retry.
+A dead endpoint stays registered for three heartbeats, about four seconds; a few
+attempts in that time cost a few requests a retry.
 """
 
 MAX_EJECTION_SECONDS = 4.0
-"""Seconds that an endpoint is passed over at most, before it is tried again."""
+"""Maximum seconds of an ejection, after which the endpoint is tried again."""
 
 IN_TRANSIT_SECONDS = 0.05
-"""Seconds after an endpoint broke off from which a whole answer shows that it lives:
-what it sent before it died is there within some milliseconds. One that loses a fifth
-of its answers brings the next one by then and keeps its share of the load; all such
-endpoints passed over at once leave the load of a service to the few others."""
+"""Seconds after a broken connection from which a complete answer proves that the
+endpoint is alive: bytes that it sent before it died arrive within some milliseconds.
+An endpoint that loses a fifth of its answers delivers the next one by then and keeps
+its share of the load. If all such endpoints were ejected at once, the few others would
+get the whole load of the service."""
 
 TIMEOUT_MEMORY_SECONDS = 3.0
-"""Seconds within which a second silent request means more than a long queue."""
+"""Seconds within which a second timeout means more than a long queue."""
 
 ERROR_EJECTION_SECONDS = 2.0
-"""Seconds that an endpoint is passed over for a high share of failed answers."""
+"""Seconds of an ejection for a high error rate."""
 
 ERROR_SMOOTHING_FACTOR = 0.15
-"""Weight of one result in the smoothed share of failed answers."""
+"""Weight of one result in the smoothed error rate."""
 
 HIGH_ERROR_RATE = 0.35
-"""Smoothed share of failed answers from which an endpoint is passed over.
+"""Smoothed error rate from which an endpoint is ejected.
 
-Some services fail up to a seventh of their requests when all is well.
+Some services fail up to a seventh of their requests in normal operation.
 """
 
 HIGH_ERROR_RATIO = 2.0
-"""Times the mean share of its service from which an endpoint is passed over:
-where all fail alike there is nothing to choose."""
+"""Multiple of its service's mean error rate from which an endpoint is ejected: if all
+endpoints fail alike, ejecting some gains nothing."""
 
 MIN_RESULTS = 6
-"""Results of an endpoint before its share of failed answers counts."""
+"""Minimum number of results before an endpoint's error rate counts."""
 
 
 @dataclass(kw_only=True, slots=True)
 class _Record:
-    """What is known of one endpoint."""
+    """Results and ejections of one endpoint."""
 
     hard_failures: int = 0
     ejected_at: float = 0.0
@@ -73,7 +74,7 @@
 
 
 class HealthTracker:
-    """Results of requests, by endpoint.
+    """Tracks results of requests by endpoint.
 
     Args:
         clock: Monotonic clock.
@@ -84,32 +85,32 @@
         self._records: dict[EndpointId, _Record] = {}
 
     def error_rate(self, *, endpoint: EndpointId) -> float:
-        """Smoothed share of an endpoint's requests that failed."""
+        """Smoothed error rate of an endpoint's requests."""
         record = self._records.get(endpoint)
         return record.error_rate if record is not None else 0.0
 
     def record_success(self, *, endpoint: EndpointId, started_at: float) -> None:
-        """Note a whole answer to a request that was sent at some time."""
+        """Record a complete answer to a request that was sent at `started_at`."""
         record = self._record(endpoint)
-        self._smooth(record, failed=False)
-        lives = record.broke_off and self._clock() >= (
+        self._add_result(record, failed=False)
+        alive = record.broke_off and self._clock() >= (
             record.ejected_at + IN_TRANSIT_SECONDS
         )
-        if lives or started_at >= record.ejected_at:
+        if alive or started_at >= record.ejected_at:
             record.hard_failures = 0
             record.ejected_until = 0.0
 
     def record_error_answer(self, *, entry: EndpointEntry) -> None:
-        """Note an answer that says the endpoint failed on the request."""
-        self._smooth(self._record(entry.endpoint), failed=True)
+        """Record an answer by which the endpoint reports a failure of the request."""
+        self._add_result(self._record(entry.endpoint), failed=True)
 
     def record_hard_failure(self, *, entry: EndpointEntry, cause: str) -> None:
-        """Note an endpoint that broke off, or could not be used at all."""
+        """Record a broken connection, or an endpoint that could not be used at all."""
         self._eject(entry=entry, cause=cause, broke_off=True)
 
     def _eject(self, *, entry: EndpointEntry, cause: str, broke_off: bool) -> None:
         record = self._record(entry.endpoint)
-        self._smooth(record, failed=True)
+        self._add_result(record, failed=True)
         now = self._clock()
         if record.ejected_until > now:
             return
@@ -130,7 +131,7 @@
         )
 
     def record_timeout(self, *, entry: EndpointEntry) -> None:
-        """Note an endpoint that was given up on; one that is slow once stays."""
+        """Record a timeout; only repeated timeouts eject the endpoint."""
         record = self._record(entry.endpoint)
         now = self._clock()
         repeated = now - record.timed_out_at < TIMEOUT_MEMORY_SECONDS
@@ -138,25 +139,25 @@
         if repeated:
             self._eject(entry=entry, cause="silent again and again", broke_off=False)
         else:
-            self._smooth(record, failed=True)
+            self._add_result(record, failed=True)
 
     def record_replaced(self, *, entry: EndpointEntry) -> None:
-        """Note that another endpoint has the address; this one is gone for good."""
+        """Record that another endpoint has taken over this endpoint's address."""
         self._record(entry.endpoint).replaced = True
         log.warning("endpoint_replaced", endpoint=entry.endpoint)
 
     def is_replaced(self, *, endpoint: EndpointId) -> bool:
-        """Tell whether another endpoint has an endpoint's address."""
+        """Return whether another endpoint has taken over the address."""
         record = self._records.get(endpoint)
         return record is not None and record.replaced
 
     def is_healthy(self, *, endpoint: EndpointId) -> bool:
-        """Tell whether nothing but whole answers came from an endpoint of late."""
+        """Return whether an endpoint has had no hard failure since its last success."""
         record = self._records.get(endpoint)
         return record is None or not (record.replaced or record.hard_failures)
 
     def usable(self, *, entries: Iterable[EndpointEntry]) -> list[EndpointEntry]:
-        """Return the endpoints that are not passed over."""
+        """Return the endpoints that are not ejected."""
         now = self._clock()
         candidates = [
             entry
@@ -164,26 +165,26 @@
             if (record := self._records.get(entry.endpoint)) is None
             or record.ejected_until <= now
         ]
-        return self._without_failing(candidates)
+        return self._exclude_failing(candidates)
 
     def retain(self, *, endpoints: frozenset[EndpointId]) -> None:
-        """Forget all endpoints but some."""
+        """Delete the records of all endpoints except these."""
         for endpoint in self._records.keys() - endpoints:
             del self._records[endpoint]
 
-    def _without_failing(self, entries: list[EndpointEntry]) -> list[EndpointEntry]:
-        """Leave out endpoints that fail far more often than their service does."""
-        shares = [self._proven_share(entry.endpoint) for entry in entries]
-        if not shares or max(shares) < HIGH_ERROR_RATE:
+    def _exclude_failing(self, entries: list[EndpointEntry]) -> list[EndpointEntry]:
+        """Eject endpoints whose error rate is far above the mean of their service."""
+        rates = [self._significant_error_rate(entry.endpoint) for entry in entries]
+        if not rates or max(rates) < HIGH_ERROR_RATE:
             return entries
-        bound = max(HIGH_ERROR_RATE, HIGH_ERROR_RATIO * sum(shares) / len(shares))
+        bound = max(HIGH_ERROR_RATE, HIGH_ERROR_RATIO * sum(rates) / len(rates))
         kept = []
-        for entry, share in zip(entries, shares, strict=True):
-            if share < bound:
+        for entry, rate in zip(entries, rates, strict=True):
+            if rate < bound:
                 kept.append(entry)
                 continue
             record = self._record(entry.endpoint)
-            # Its share starts afresh, so that it is judged anew when tried again.
+            # Reset the error rate, so that only new results count after the ejection.
             record.ejected_at = self._clock()
             record.ejected_until = record.ejected_at + ERROR_EJECTION_SECONDS
             record.broke_off = False
@@ -194,18 +195,18 @@
                 endpoint=entry.endpoint,
                 service=entry.service,
                 cause="failed answers",
-                share=round(share, 3),
+                share=round(rate, 3),
                 seconds=ERROR_EJECTION_SECONDS,
             )
         return kept
 
-    def _proven_share(self, endpoint: EndpointId) -> float:
+    def _significant_error_rate(self, endpoint: EndpointId) -> float:
         record = self._records.get(endpoint)
         if record is None or record.results < MIN_RESULTS:
             return 0.0
         return record.error_rate
 
-    def _smooth(self, record: _Record, *, failed: bool) -> None:
+    def _add_result(self, record: _Record, *, failed: bool) -> None:
         record.results += 1
         record.error_rate += ERROR_SMOOTHING_FACTOR * (
             float(failed) - record.error_rate
--- a/dotterelpaddle/forwarding/herding.py
+++ b/dotterelpaddle/forwarding/herding.py
@@ -1,7 +1,7 @@
-"""Keeps routers from sending too much to one endpoint, each and all together.
+"""Bounds that keep routers from overloading one endpoint, each and all together.
 
-Routers act on what they told each other a moment ago. What one of them adds meanwhile
-is little; what many add that all hold the same endpoint for the best one is not.
+Routers act on loads that they reported to each other a moment ago. What one router adds
+meanwhile is little; what many routers add that all choose the same endpoint is not.
 """
 
 from __future__ import annotations
@@ -12,44 +12,44 @@
     from dotterelpaddle.forwarding.model import EndpointEntry
 
 LOAD_MULTIPLE = 1.7
-"""Times the mean load up to which an endpoint is given requests for its cache.
+"""Multiple of the mean load up to which an endpoint gets requests for its cache.
 
-Endpoints may hold twice the mean and three requests more; news of the load is
-a few tenths of a second old, which the difference is left for.
+Endpoints may hold twice the mean and three requests more. The difference is a reserve,
+because reported loads are a few tenths of a second old.
 """
 
 LOAD_ALLOWANCE = 2.0
-"""Requests over the multiple that are allowed, which matters near no load."""
+"""Requests allowed on top of the multiple, which matters at low load."""
 
 LARGE_FLEET_ROUTERS = 16
-"""Routers above which what they do between two reports adds up: with 58 of them an
-endpoint that all hold for the best one gets a dozen requests before any of them
-knows of it."""
+"""Number of routers above which their requests between two reports add up: with 58
+routers an endpoint that all consider the best one gets a dozen requests before any
+router knows of them."""
 
 MIN_BOUND_FRACTION = 0.4
-"""How near to the bound each of many routers goes at least; the rest of the way it
-draws for each request. The nearer an endpoint is to its bound, the fewer of them send
-it more at the same moment."""
+"""Minimum fraction of the way to the bound that each of many routers uses; it draws the
+rest at random for each request. So the nearer an endpoint is to its bound, the fewer
+routers send it more requests at the same moment."""
 
 SAMPLE_SIZE = 6
-"""Endpoints that each of many routers compares, beside those with the prompt in their
-cache; others compare others, so that no endpoint is the best one for all."""
+"""Number of endpoints that each of many routers compares, besides those that have the
+prompt cached. Samples differ between routers, so no endpoint is the best for all."""
 
 PROMPTLESS_SAMPLE_SIZE = 2
-"""The same for requests without a prompt, the usual number where loads are old."""
+"""Sample size for requests without a prompt, the usual number for stale loads."""
 
 
 def load_bound(
     *, entry: EndpointEntry, mean: float, bound_fraction: float = 1.0
 ) -> float:
-    """Requests up to which an endpoint is given more for its cache.
+    """Return the load up to which an endpoint gets more requests for its cache.
 
     A request that waits for a slot gains nothing from a cache.
 
     Args:
         entry: The endpoint.
         mean: Mean load of its service.
-        bound_fraction: How near to the bound to go, from the mean at 0 on.
+        bound_fraction: Fraction of the way from the mean (0) to the bound (1).
     """
     by_mean = LOAD_MULTIPLE * mean + LOAD_ALLOWANCE
     by_slots = max(entry.slots, mean + LOAD_ALLOWANCE)
--- a/dotterelpaddle/forwarding/loads.py
+++ b/dotterelpaddle/forwarding/loads.py
@@ -1,4 +1,4 @@
-"""Requests in flight at each endpoint, over all routers."""
+"""Requests in flight at each endpoint, summed over all routers."""
 
 from __future__ import annotations
 
@@ -14,12 +14,12 @@
 
 
 class InFlightRequest:
-    """A request that is counted at an endpoint.
+    """A request that counts towards the load of an endpoint.
 
     Args:
-        queued_tokens: Tokens that wait to be read, by endpoint.
+        queued_tokens: Counter of the tokens that wait for prefill, by endpoint.
         endpoint: The endpoint.
-        work_tokens: Time until it can answer, in tokens read.
+        work_tokens: Work until the answer starts, in tokens to prefill.
     """
 
     def __init__(
@@ -35,22 +35,22 @@
         _add(queued_tokens, endpoint, work_tokens)
 
     def answer_started(self) -> None:
-        """Note that the answer has begun, and so that the prompt was read."""
-        work, self._work_tokens = self._work_tokens, 0
-        _add(self._queued_tokens, self._endpoint, -work)
+        """Record that the answer has started, so the prompt is prefilled."""
+        remaining, self._work_tokens = self._work_tokens, 0
+        _add(self._queued_tokens, self._endpoint, -remaining)
 
 
 class LoadTracker:
-    """Counts of requests in flight.
+    """Tracks the requests in flight.
 
     Args:
-        shares: What other routers told.
+        shares: Totals that other routers reported.
     """
 
     def __init__(self, *, shares: TotalsTracker) -> None:
-        self._shares = shares
+        self._totals = shares
         self._own: Counter[EndpointId] = Counter()
-        self._changed: Callable[[EndpointId, int], None] | None = None
+        self._observer: Callable[[EndpointId, int], None] | None = None
         self._own_queued_tokens: Counter[EndpointId] = Counter()
 
     @property
@@ -60,17 +60,17 @@
 
     @property
     def own_queued_tokens(self) -> Mapping[EndpointId, int]:
-        """Tokens that this router's requests wait to have read, by endpoint."""
+        """Tokens of this router's requests that wait for prefill, by endpoint."""
         return self._own_queued_tokens
 
     @property
     def routers(self) -> int:
-        """Routers whose requests are counted, this one included."""
-        return self._shares.router_count
+        """Number of routers whose requests count, this one included."""
+        return self._totals.router_count
 
     def on_change(self, observer: Callable[[EndpointId, int], None]) -> None:
-        """Let somebody be told of each request that begins (1) or ends (-1)."""
-        self._changed = observer
+        """Set the observer called for each request that starts (1) or ends (-1)."""
+        self._observer = observer
 
     @contextmanager
     def track(
@@ -80,42 +80,42 @@
 
         Args:
             endpoint: The endpoint.
-            work_tokens: Time until it can answer, in tokens read.
+            work_tokens: Work until the answer starts, in tokens to prefill.
         """
         self._change(endpoint, 1)
-        held = InFlightRequest(
+        request = InFlightRequest(
             queued_tokens=self._own_queued_tokens,
             endpoint=endpoint,
             work_tokens=work_tokens,
         )
         try:
-            yield held
+            yield request
         finally:
-            held.answer_started()
+            request.answer_started()
             self._change(endpoint, -1)
 
     def _change(self, endpoint: EndpointId, count: int) -> None:
         _add(self._own, endpoint, count)
-        if self._changed is not None:
-            self._changed(endpoint, count)
+        if self._observer is not None:
+            self._observer(endpoint, count)
 
     def loads(self) -> Counter[EndpointId]:
         """Requests in flight by endpoint, as far as this router knows."""
         loads = Counter(self._own)
-        for share in self._shares.current():
-            loads.update(share.loads)
+        for total in self._totals.current():
+            loads.update(total.loads)
         return loads
 
     def queued_tokens(self) -> Counter[EndpointId]:
-        """Tokens that wait to be read by endpoint, as far as this router knows."""
-        reading = Counter(self._own_queued_tokens)
-        for share in self._shares.current():
-            reading.update(share.queued_tokens)
-        return reading
+        """Tokens that wait for prefill by endpoint, as far as this router knows."""
+        tokens = Counter(self._own_queued_tokens)
+        for total in self._totals.current():
+            tokens.update(total.queued_tokens)
+        return tokens
 
 
 def _add(counts: Counter[EndpointId], endpoint: EndpointId, count: int) -> None:
-    """Add to a count; what is back at zero is dropped, so that nobody tells it."""
+    """Add to a count, and delete counts of zero so that reports omit them."""
     counts[endpoint] += count
     if not counts[endpoint]:
         del counts[endpoint]
--- a/dotterelpaddle/forwarding/notices.py
+++ b/dotterelpaddle/forwarding/notices.py
@@ -1,4 +1,4 @@
-"""Heeds what endpoints say of themselves beside their answers."""
+"""Processes the notices about themselves that endpoints add to their answers."""
 
 from __future__ import annotations
 
@@ -17,23 +17,23 @@
 
 
 class EndpointNotices:
-    """Passes on to whom it concerns what an endpoint says of itself.
+    """Passes the notices in an answer's head to the trackers concerned.
 
     Args:
-        leaving: Endpoints that leave.
-        backoffs: Endpoints that want nothing from this router for a while.
+        leaving: Tracks leaving endpoints.
+        backoffs: Tracks endpoints that asked for a backoff.
     """
 
     def __init__(
         self, *, leaving: LeavingEndpoints, backoffs: EndpointBackoffs
     ) -> None:
         self._leaving = leaving
-        self._quiet = backoffs
+        self._backoffs = backoffs
 
     def process(
         self, *, endpoint: EndpointId, head: AnswerHead, request_id: RequestId
     ) -> None:
-        """Take in the head of an answer that is this start's own, whatever it says."""
+        """Process the head of an answer that comes from this incarnation."""
         if head.leaving or head.retry_after is not None:
             log.info(
                 "endpoint_said",
@@ -46,4 +46,4 @@
         if head.leaving:
             self._leaving.record(endpoint=endpoint)
         if head.retry_after is not None and head.status in NOT_EXECUTED_STATUSES:
-            self._quiet.record(endpoint=endpoint, seconds=head.retry_after)
+            self._backoffs.record(endpoint=endpoint, seconds=head.retry_after)
--- a/dotterelpaddle/forwarding/readiness.py
+++ b/dotterelpaddle/forwarding/readiness.py
@@ -1,4 +1,4 @@
-"""The ASGI application that the balancer asks."""
+"""The ASGI application for the readiness checks of the balancer."""
 
 from __future__ import annotations
 
@@ -12,10 +12,10 @@
 
 
 class ReadinessApp:
-    """Answers 200 while the router should be sent callers, else 503.
+    """Answers 200 while the router is ready for callers, else 503.
 
     Args:
-        is_ready: Tells whether it should.
+        is_ready: Returns whether the router is ready.
     """
 
     def __init__(self, *, is_ready: Callable[[], bool]) -> None:
@@ -24,7 +24,7 @@
     async def __call__(
         self, scope: Mapping[str, Any], receive: Receive, send: Send
     ) -> None:
-        """Answer one question, whatever its path."""
+        """Answer one readiness check, whatever its path."""
         ready = self._is_ready()
         body = b"ready\n" if ready else b"not ready\n"
         headers = [(b"content-length", str(len(body)).encode())]
--- a/dotterelpaddle/forwarding/residency.py
+++ b/dotterelpaddle/forwarding/residency.py
@@ -1,4 +1,4 @@
-"""Where requests may run: routes and client accounts may be bound to regions."""
+"""Restricts requests to the regions that their routes and client accounts allow."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 
 class ResidencyPolicy:
-    """Tells which endpoints a request must not reach.
+    """Determines which endpoints a request must not reach.
 
     Args:
         view: The endpoints in force.
@@ -29,12 +29,12 @@
     def forbidden_endpoints(
         self, *, exchange: ForwardExchange
     ) -> frozenset[EndpointId]:
-        """Endpoints outside the regions of the request's route and account.
+        """Endpoints outside the allowed regions of the request's route and account.
 
-        Where both have some, both bind. An endpoint in a failure domain of which no
-        region is known is outside.
+        If both restrict regions, both restrictions apply. An endpoint is also
+        forbidden if the region of its failure domain is unknown.
         """
-        allowed = _allowed(exchange)
+        allowed = _allowed_regions(exchange)
         if allowed is None:
             return frozenset()
         service = exchange.service
@@ -50,11 +50,11 @@
         )
 
 
-def _allowed(exchange: ForwardExchange) -> frozenset[Region] | None:
-    """Regions in which a request may run, None for all."""
+def _allowed_regions(exchange: ForwardExchange) -> frozenset[Region] | None:
+    """Return the regions in which a request may run, None for all."""
     bounds = [
-        holder.regions
-        for holder in (exchange.route, exchange.account)
-        if holder is not None and holder.regions
+        source.regions
+        for source in (exchange.route, exchange.account)
+        if source is not None and source.regions
     ]
     return frozenset.intersection(*bounds) if bounds else None
--- a/dotterelpaddle/forwarding/routes.py
+++ b/dotterelpaddle/forwarding/routes.py
@@ -1,4 +1,4 @@
-"""What follows from the routes of a configuration."""
+"""Indexes of the routes of a configuration."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 def routes_by_host(
     *, routes: Iterable[ForwardRoute]
 ) -> dict[str, tuple[ForwardRoute, ...]]:
-    """Group routes by host, the longest prefix first."""
+    """Group routes by host, each group sorted by descending prefix length."""
     by_host: dict[str, list[ForwardRoute]] = {}
     for route in routes:
         by_host.setdefault(route.host, []).append(route)
@@ -25,5 +25,5 @@
 
 
 def routed_services(*, routes: Iterable[ForwardRoute]) -> frozenset[ServiceName]:
-    """Services that any route sends requests to."""
+    """Return the services to which any route sends requests."""
     return frozenset(each.service for route in routes for each in route.services)
--- a/dotterelpaddle/forwarding/unusable.py
+++ b/dotterelpaddle/forwarding/unusable.py
@@ -1,4 +1,4 @@
-"""Entries that name no endpoint to use, each told in the logs once."""
+"""Entries that name no usable endpoint, each logged once."""
 
 from __future__ import annotations
 
@@ -14,15 +14,15 @@
 log = get_logger(name=__name__)
 
 MAX_REMEMBERED_ENTRIES = 1000
-"""Entries whose faults are remembered, 200 KB at most: a writer that renames its
-entries with each write is told of again, and fills no memory."""
+"""Maximum number of entries whose errors are remembered, 200 KB: a writer that renames
+its entries with each write is logged again, but can't exhaust memory."""
 
 
 class UnusableEntries:
-    """Tells of each entry that can't be used, and again when its fault changes.
+    """Logs each unusable entry once, and again when its error changes.
 
-    Such an entry is written anew with each heartbeat, once a second or so; to tell
-    of it each time would push other lines out of the logs.
+    Each heartbeat rewrites such an entry about once a second; logging every write would
+    push other lines out of the logs.
     """
 
     def __init__(self) -> None:
@@ -31,7 +31,7 @@
     def record(
         self, *, name: EndpointName, revision: Revision, error: RecordError
     ) -> None:
-        """Note an entry that can't be used."""
+        """Log an unusable entry unless its error is already logged."""
         if self._causes.get(name) == error.message:
             return
         self._causes[name] = error.message
@@ -47,5 +47,5 @@
         )
 
     def forget(self, *, name: EndpointName) -> None:
-        """Note that an entry is gone or can be used."""
+        """Forget the error of an entry that was removed or is usable."""
         self._causes.pop(name, None)
