--- a/dotterelpaddle/tests/forwarding/entries.py
+++ b/dotterelpaddle/tests/forwarding/entries.py
@@ -1,4 +1,4 @@
-"""Endpoints' entries and requests for tests."""
+"""Factories of endpoint entries and requests for tests."""
 
 from __future__ import annotations
 
@@ -23,7 +23,7 @@
 
 
 def make_entry(name: str, **fields: Any) -> EndpointEntry:
-    """Return an entry that is like any other but for the fields that are given."""
+    """Return an entry with default values for the fields that are not given."""
     return EndpointEntry(
         **{
             "endpoint": EndpointId(name),
@@ -39,7 +39,7 @@
 
 
 def unbounded_cold_endpoints(*, view: FleetView) -> ColdEndpoints:
-    """Cold endpoints get what others get."""
+    """Return a `ColdEndpoints` that does not limit cold endpoints."""
     return ColdEndpoints(
         router=RouterId("own"),
         bounds=None,
@@ -50,8 +50,8 @@
 
 
 def make_request(*parts: tuple[str, int]) -> ForwardRequest:
-    """Return a request whose prompt has some shared parts and one of its own."""
-    own = PromptPart(digest="own", tokens=100)
+    """Return a request whose prompt has these shared parts and one unique part."""
+    unique = PromptPart(digest="own", tokens=100)
     shared = [PromptPart(digest=part, tokens=tokens) for part, tokens in parts]
     return ForwardRequest(
         request_id=RequestId("request"),
@@ -61,5 +61,5 @@
         target=b"/",
         headers=[],
         model=ModelId("m"),
-        prompt=(*shared, own) if shared else (),
+        prompt=(*shared, unique) if shared else (),
     )
--- a/dotterelpaddle/tests/forwarding/test_cold.py
+++ b/dotterelpaddle/tests/forwarding/test_cold.py
@@ -1,8 +1,8 @@
-"""Endpoints that come back cold beside busy ones, before many routers.
+"""Tests that many routers together do not overload a cold endpoint.
 
-The pattern: an endpoint, or all of a failure domain, starts anew or is taken back after
-an evacuation. It has nothing in flight, so that all routers hold it for the best one
-at the same moment, and what they send together makes it crash once more.
+Guards against repeated crashes of an endpoint that has just restarted or whose failure
+domain is back from an evacuation. It has no requests in flight, so all routers choose
+it at the same moment, and their requests together make it crash again.
 """
 
 from __future__ import annotations
@@ -56,8 +56,8 @@
 COLD_TIME = 3.0
 BOUNDS = ColdBounds(multiple=1.5, allowance=5.0)
 SLOW_START = SlowStart(duration=COLD_TIME, rate=9.2)
-MOST = BOUNDS.multiple * SLOW_START.rate + BOUNDS.allowance
-"""Requests that a cold endpoint may get in any second from all routers."""
+MAX_REQUESTS = BOUNDS.multiple * SLOW_START.rate + BOUNDS.allowance
+"""Maximum requests that a cold endpoint may get in any second from all routers."""
 
 CONFIGURATION = FleetConfiguration(
     version=1,
@@ -77,7 +77,7 @@
 
 @dataclass(kw_only=True)
 class Router:
-    """One router, which sees the load of its last look at the fleet."""
+    """One router, which acts on the load as of its last update."""
 
     name: str
     routers: int
@@ -121,20 +121,20 @@
     def _clock(self) -> float:
         return self.now
 
-    def know(self, *entries: EndpointEntry) -> None:
-        """Take in a whole list of endpoints."""
+    def apply_entries(self, *entries: EndpointEntry) -> None:
+        """Apply a snapshot of endpoints."""
         revision = Revision((self.view.endpoints_revision or 0) + 1)
-        told = tuple(replace(entry, revision=revision) for entry in entries)
+        revised = tuple(replace(entry, revision=revision) for entry in entries)
         self.view.apply_endpoints_update(
-            update=EndpointsUpdate(revision=revision, entries=told, is_snapshot=True)
+            update=EndpointsUpdate(revision=revision, entries=revised, is_snapshot=True)
         )
 
     def settle(self) -> None:
-        """Let the time pass in which others may not be known yet."""
+        """Advance the clock past the time in which peers may not be known yet."""
         self.now += SETTLING_SECONDS
 
     def choose(self, *, decider: Decider = Decider.OWNERLESS) -> Choice:
-        """Choose for a plain request."""
+        """Choose an endpoint for a request without a prompt."""
         choice = self.placer.choose(
             service=SERVICE,
             request=make_request(),
@@ -154,12 +154,12 @@
     ]
     for router in fleet:
         router.settle()
-        router.know(_entry(WARM), _entry(COLD, cold_left=COLD_TIME))
+        router.apply_entries(_entry(WARM), _entry(COLD, cold_left=COLD_TIME))
     return fleet
 
 
-def _herd(fleet: list[Router], *, decider: Decider, rounds: int = 4) -> int:
-    """Let all routers choose a few times in one second."""
+def _send_herd(fleet: list[Router], *, decider: Decider, rounds: int = 4) -> int:
+    """Let all routers choose a few times within one second."""
     for number in range(rounds):
         for router in fleet:
             router.now = SETTLING_SECONDS + number / rounds
@@ -168,18 +168,18 @@
 
 
 @pytest.mark.parametrize("count", [3, 9, 16, 74, 195])
-def test_herd_of_routers_that_choose_alone_stays_within_what_one_bears(
+def test_herd_of_ownerless_routers_stays_within_the_bound(
     count: int,
 ) -> None:
-    """Guards against a cold endpoint that all routers find idle at once."""
-    assert _herd(_fleet(count), decider=Decider.OWNERLESS) <= MOST
+    """Guards against a cold endpoint that all routers consider idle at once."""
+    assert _send_herd(_fleet(count), decider=Decider.OWNERLESS) <= MAX_REQUESTS
 
 
 @pytest.mark.parametrize("count", [74, 195])
-def test_owner_and_those_beside_it_stay_within_it_together(count: int) -> None:
-    """Guards against two parts of one allowance that each use all of it."""
-    beside = _herd(_fleet(count), decider=Decider.NON_OWNER)
-    without = _herd(_fleet(count), decider=Decider.OWNERLESS)
+def test_owner_and_other_routers_together_stay_within_the_bound(count: int) -> None:
+    """Guards against two kinds of deciders that each use the whole bound."""
+    non_owner_requests = _send_herd(_fleet(count), decider=Decider.NON_OWNER)
+    ownerless_requests = _send_herd(_fleet(count), decider=Decider.OWNERLESS)
     owner = _fleet(1)[0]
     granted = 0
     while owner.cold.with_capacity(entries=[_entry(COLD)], decider=Decider.OWNER):
@@ -187,48 +187,51 @@
         granted += 1
 
     assert granted > 0
-    # While one owner follows another both may grant.
-    assert beside + 2 * granted <= MOST
-    # Some routers may not have heard of the owner yet.
-    assert without + granted <= MOST
+    # During a failover two owners may grant.
+    assert non_owner_requests + 2 * granted <= MAX_REQUESTS
+    # Some routers may not know of the owner yet.
+    assert ownerless_requests + granted <= MAX_REQUESTS
 
 
-def test_herd_without_bounds_goes_far_over_it() -> None:
-    """Shows that the pattern is one, and that the bounds are what keeps it off."""
-    assert _herd(_fleet(74, bounds=None), decider=Decider.OWNERLESS) > 2 * MOST
+def test_herd_without_bounds_far_exceeds_the_bound() -> None:
+    """Shows that without bounds the routers overload the endpoint."""
+    assert (
+        _send_herd(_fleet(74, bounds=None), decider=Decider.OWNERLESS)
+        > 2 * MAX_REQUESTS
+    )
 
 
-def test_cold_endpoint_is_used_as_far_as_it_bears_work() -> None:
-    """Guards against endpoints that stay cold because nobody sends them anything."""
-    assert _herd(_fleet(9), decider=Decider.OWNERLESS) >= SLOW_START.rate / 2
+def test_cold_endpoint_is_used_up_to_its_capacity() -> None:
+    """Guards against endpoints that stay cold because no router sends them requests."""
+    assert _send_herd(_fleet(9), decider=Decider.OWNERLESS) >= SLOW_START.rate / 2
 
 
-def test_router_that_knows_few_others_sends_nothing_there() -> None:
-    """Guards against routers that all take themselves for the only one."""
+def test_starting_router_sends_nothing_to_cold_endpoints() -> None:
+    """Guards against routers that each assume to be the only one."""
     router = Router(name="new", routers=1)
-    router.know(_entry(WARM), _entry(COLD, cold_left=COLD_TIME))
+    router.apply_entries(_entry(WARM), _entry(COLD, cold_left=COLD_TIME))
 
     assert {router.choose().entry.endpoint for _ in range(20)} == {WARM}
 
 
-def test_what_only_cold_endpoints_are_left_for_is_refused_at_once() -> None:
-    """Guards against requests that wait for, or crash, the last endpoints there are."""
+def test_requests_are_refused_at_once_if_only_cold_endpoints_are_left() -> None:
+    """Guards against requests that wait for the last endpoints, or crash them."""
     router = Router(name="own", routers=1)
     router.settle()
-    router.know(_entry(COLD, cold_left=COLD_TIME))
+    router.apply_entries(_entry(COLD, cold_left=COLD_TIME))
     with pytest.raises(NoEndpoint) as raised:
         for _ in range(100):
             router.choose()
 
-    assert 0 < len(router.sent) <= MOST
+    assert 0 < len(router.sent) <= MAX_REQUESTS
     assert raised.value.retry_after
 
 
-def test_endpoints_are_cold_after_an_evacuation_before_their_entries_say_so() -> None:
-    """Guards against the herd that goes back to a domain at once."""
+def test_endpoints_are_cold_after_an_evacuation_before_their_entries() -> None:
+    """Guards against a herd of requests to a domain right after its evacuation."""
     router = Router(name="own", routers=74)
     router.settle()
-    router.know(_entry(WARM), _entry(COLD))
+    router.apply_entries(_entry(WARM), _entry(COLD))
     for revision, domains in enumerate([{HERE}, set()], start=1):
         router.view.evacuations.apply_snapshot(
             snapshot=EvacuationSnapshot(
@@ -242,9 +245,9 @@
 
 
 class ColdMachine(RuleBasedStateMachine):
-    """Routers start, are parted from each other, and send at any moment.
+    """Routers start, lose contact with each other and send at any moment.
 
-    An endpoint that is cold all the while gets no more than it bears from all.
+    An endpoint that stays cold must get no more than its bound from all of them.
     """
 
     @initialize(count=st.sampled_from([2, 5, 9, 16]))
@@ -261,7 +264,7 @@
     def send(self, number: int, requests: int) -> None:
         router = self.fleet[number % len(self.fleet)]
         router.now = self.now
-        router.know(_entry(WARM), _entry(COLD, cold_left=COLD_TIME))
+        router.apply_entries(_entry(WARM), _entry(COLD, cold_left=COLD_TIME))
         before = len(router.sent)
         for _ in range(requests):
             router.choose()
@@ -269,21 +272,21 @@
 
     @rule(number=st.integers(0, 15))
     def restart(self, number: int) -> None:
-        """Start a router anew: it has forgotten what it sent, and knows no other."""
-        place = number % len(self.fleet)
-        before = self.fleet[place]
+        """Restart a router: it has lost its request counts and knows no peers."""
+        index = number % len(self.fleet)
+        before = self.fleet[index]
         router = Router(name=before.name, routers=1, now=self.now)
-        router.know(_entry(WARM), _entry(COLD, cold_left=COLD_TIME))
-        # By the time that it has settled it knows the others.
+        router.apply_entries(_entry(WARM), _entry(COLD, cold_left=COLD_TIME))
+        # Once its settling time is over, it knows the others.
         router.routers = before.routers
-        self.fleet[place] = router
+        self.fleet[index] = router
 
     @invariant()
-    def no_second_holds_more_than_the_bound(self) -> None:
+    def no_second_exceeds_the_bound(self) -> None:
         if not hasattr(self, "arrived"):
             return
         recent = [at for at in self.arrived if at > self.now - 1.0]
-        assert len(recent) <= MOST
+        assert len(recent) <= MAX_REQUESTS
 
 
 TestColdEndpoints = ColdMachine.TestCase
--- a/dotterelpaddle/tests/forwarding/test_deltas.py
+++ b/dotterelpaddle/tests/forwarding/test_deltas.py
@@ -1,4 +1,4 @@
-"""What one router tells another of endpoints is as good as the whole list."""
+"""Tests that the endpoint deltas between routers are equivalent to snapshots."""
 
 from __future__ import annotations
 
@@ -16,9 +16,9 @@
 
 
 class DeltaMachine(RuleBasedStateMachine):
-    """A router that reads the platform, and two that only hear of it from others.
+    """A router that reads the platform, and two that get updates only from peers.
 
-    One asks the reader, the other one asks the first; news may be late, and come
+    One fetches from the reader, the other from the first; updates may arrive late and
     twice.
     """
 
@@ -27,16 +27,16 @@
         self.now = 0.0
         self.revision = 0
         self.reader = FleetView(clock=lambda: self.now)
-        self.near = FleetView(clock=lambda: self.now)
-        self.far = FleetView(clock=lambda: self.now)
-        self.late: list[EndpointsUpdate] = []
-        self._read(whole=True)
+        self.direct = FleetView(clock=lambda: self.now)
+        self.indirect = FleetView(clock=lambda: self.now)
+        self.delayed: list[EndpointsUpdate] = []
+        self._read(is_snapshot=True)
 
     def _read(
         self,
         *entries: EndpointEntry,
         removed: frozenset[EndpointName] = frozenset(),
-        whole: bool = False,
+        is_snapshot: bool = False,
     ) -> None:
         revision = Revision(self.revision)
         self.reader.apply_endpoints_update(
@@ -44,7 +44,7 @@
                 revision=revision,
                 entries=entries,
                 removed=dict.fromkeys(removed, revision),
-                is_snapshot=whole,
+                is_snapshot=is_snapshot,
             )
         )
 
@@ -59,8 +59,8 @@
         self._read(removed=frozenset({name}))
 
     @rule()
-    def beat(self) -> None:
-        """All entries are written again; nothing has changed."""
+    def heartbeat(self) -> None:
+        """All endpoints rewrite their entries without a change."""
         for entry in self.reader.entries:
             self.revision += 1
             revision = Revision(self.revision)
@@ -70,49 +70,49 @@
     def read_all_again(self) -> None:
         """The platform has dropped its history."""
         self.revision += 1
-        self._read(*self.reader.entries, whole=True)
+        self._read(*self.reader.entries, is_snapshot=True)
 
     @rule(seconds=st.sampled_from([1.0, TOMBSTONE_SECONDS + 1.0]))
     def pass_time(self, seconds: float) -> None:
         self.now += seconds
         if seconds > TOMBSTONE_SECONDS:
-            # A fetch takes under a second; nothing is under way for that long.
-            self.late.clear()
+            # A fetch takes under a second; no update is delayed for that long.
+            self.delayed.clear()
 
     @rule()
-    def near_asks(self) -> None:
-        self._ask(self.near, self.reader)
-        assert self.near.endpoints_tag == self.reader.endpoints_tag
+    def direct_fetches(self) -> None:
+        self._fetch(self.direct, self.reader)
+        assert self.direct.endpoints_tag == self.reader.endpoints_tag
 
     @rule()
-    def far_asks(self) -> None:
-        self._ask(self.far, self.near)
-        assert self.far.endpoints_tag == self.near.endpoints_tag
+    def indirect_fetches(self) -> None:
+        self._fetch(self.indirect, self.direct)
+        assert self.indirect.endpoints_tag == self.direct.endpoints_tag
 
     @rule(data=st.data())
-    def hear_late_news(self, data: st.DataObject) -> None:
-        if self.late:
-            read = data.draw(st.sampled_from(self.late))
-            self.near.apply_endpoints_update(update=read)
-
-    def _ask(self, asking: FleetView, told: FleetView) -> None:
-        read = told.endpoints_since(revision=asking.endpoints_revision)
-        if read is None:
+    def receive_delayed_update(self, data: st.DataObject) -> None:
+        if self.delayed:
+            update = data.draw(st.sampled_from(self.delayed))
+            self.direct.apply_endpoints_update(update=update)
+
+    def _fetch(self, requester: FleetView, responder: FleetView) -> None:
+        update = responder.endpoints_since(revision=requester.endpoints_revision)
+        if update is None:
             return
-        self.late.append(read)
-        asking.apply_endpoints_update(update=read)
+        self.delayed.append(update)
+        requester.apply_endpoints_update(update=update)
 
     @invariant()
-    def nobody_is_ahead_of_the_reader(self) -> None:
+    def no_view_is_ahead_of_the_reader(self) -> None:
         assert self.reader.endpoints_revision is not None
-        for view in (self.near, self.far):
+        for view in (self.direct, self.indirect):
             assert (view.endpoints_revision or -1) <= self.reader.endpoints_revision
 
 
 TestDeltas = DeltaMachine.TestCase
 
 
-def test_heartbeats_are_not_told() -> None:
+def test_delta_omits_heartbeats() -> None:
     view = FleetView(clock=lambda: 0.0)
     view.apply_endpoints_update(
         update=EndpointsUpdate(
@@ -121,14 +121,14 @@
             is_snapshot=True,
         )
     )
-    beat = make_entry("a", revision=Revision(5))
-    left = make_entry("b", revision=Revision(6), state=EndpointState.DRAINING)
+    heartbeat = make_entry("a", revision=Revision(5))
+    draining = make_entry("b", revision=Revision(6), state=EndpointState.DRAINING)
     view.apply_endpoints_update(
-        update=EndpointsUpdate(revision=Revision(6), entries=(beat, left))
+        update=EndpointsUpdate(revision=Revision(6), entries=(heartbeat, draining))
     )
 
-    told = view.endpoints_since(revision=Revision(1))
+    delta = view.endpoints_since(revision=Revision(1))
 
-    assert told is not None
-    assert told.entries == (left,)
-    assert not told.is_snapshot
+    assert delta is not None
+    assert delta.entries == (draining,)
+    assert not delta.is_snapshot
--- a/dotterelpaddle/tests/forwarding/test_evacuation.py
+++ b/dotterelpaddle/tests/forwarding/test_evacuation.py
@@ -1,9 +1,8 @@
-"""Failure domains that the operator has evacuated get no new work.
+"""Tests that failure domains that the operator has evacuated get no new requests.
 
-What was seen: 2,796 requests reached endpoints of a domain more than 5 s after its
-evacuation was acknowledged, from all routers alike.
-
-How it came about: of the operator's rows only the configuration was read.
+Guards against an incident in which 2,796 requests from all routers reached endpoints of
+a domain more than 5 s after the operator's evacuation was acknowledged. The routers
+read only the configuration from the operator's rows, not the evacuations.
 """
 
 from __future__ import annotations
@@ -27,8 +26,8 @@
 
 NO_STORE = Address(host="127.0.0.1", port=9)
 HERE, THERE = "here", "there"
-CALLS = 12
-"""Requests that would all go to an endpoint near the router."""
+CALLS_PER_CHECK = 12
+"""Number of requests that would all go to an endpoint near the router."""
 
 
 @asynccontextmanager
@@ -52,9 +51,9 @@
 
 
 async def _reached(fleet: Fleet, *, router: int = 0) -> set[str]:
-    """Send some requests, and tell which endpoints they reach."""
+    """Send some requests and return the endpoints that they reach."""
     before = {name: len(each.received) for name, each in fleet.runners.items()}
-    for _ in range(CALLS):
+    for _ in range(CALLS_PER_CHECK):
         await fleet.call("/safe/", router=router)
     return {
         name
@@ -63,8 +62,8 @@
     }
 
 
-async def test_router_that_starts_knows_evacuations_before_its_first_request() -> None:
-    """Guards against work for an evacuated domain from routers that just started."""
+async def test_starting_router_applies_evacuations_before_its_first_request() -> None:
+    """Guards against requests to an evacuated domain from routers that just started."""
     async with _two_domains(routers=0) as fleet:
         _evacuate(fleet, HERE)
         await _start_router(fleet)
@@ -72,8 +71,8 @@
         assert await _reached(fleet) == {THERE}
 
 
-async def test_evacuation_is_heeded_by_a_router_that_runs() -> None:
-    """Guards against work for a domain that was evacuated while routers ran."""
+async def test_running_router_applies_an_evacuation() -> None:
+    """Guards against requests to a domain that was evacuated while routers ran."""
     async with _two_domains() as fleet:
         _evacuate(fleet, HERE)
         for _ in range(20):
@@ -82,8 +81,8 @@
     assert reached == {THERE}
 
 
-async def test_router_hears_of_evacuations_from_others() -> None:
-    """Guards against work for an evacuated domain while the store turns one away."""
+async def test_router_receives_evacuations_from_peers() -> None:
+    """Guards against requests to an evacuated domain while a router has no store."""
     async with _two_domains() as fleet:
         router = await fleet.add_router(store=NO_STORE)
         await wait_until(lambda: router.parts.app.ready)
@@ -94,8 +93,8 @@
         assert await _reached(fleet, router=1) == {THERE}
 
 
-async def test_domain_that_is_taken_back_gets_work_again() -> None:
-    """Guards against endpoints that are lost to the fleet after an evacuation."""
+async def test_domain_gets_requests_again_after_its_evacuation() -> None:
+    """Guards against endpoints that get no requests after an evacuation."""
     async with _two_domains() as fleet:
         view = fleet.routers[0].parts.state.view
         _evacuate(fleet, HERE)
@@ -106,8 +105,8 @@
         assert await _reached(fleet) == {HERE}
 
 
-async def test_what_has_nowhere_to_go_is_refused_at_once() -> None:
-    """Guards against requests that wait, or run, while all domains are evacuated."""
+async def test_requests_are_refused_at_once_if_all_domains_are_evacuated() -> None:
+    """Guards against requests that wait or run while all domains are evacuated."""
     async with _two_domains() as fleet:
         view = fleet.routers[0].parts.state.view
         for domain in (HERE, THERE):
--- a/dotterelpaddle/tests/forwarding/test_evacuations_machine.py
+++ b/dotterelpaddle/tests/forwarding/test_evacuations_machine.py
@@ -1,4 +1,4 @@
-"""News of evacuations that comes late, doubled and in any order."""
+"""Tests evacuation updates that arrive late, duplicated and in any order."""
 
 from __future__ import annotations
 
@@ -17,21 +17,21 @@
 
 
 class EvacuationMachine(RuleBasedStateMachine):
-    """One history of evacuations, of which two routers hear in any order.
+    """One history of evacuations, which two routers receive in any order.
 
-    Each router must act on the latest state of which it heard.
+    Each router must act on the latest state that it received.
     """
 
     def __init__(self) -> None:
         super().__init__()
         self.routers = [EvacuationTracker(clock=lambda: 0.0) for _ in range(2)]
-        self.heard: list[int | None] = [None, None]
+        self.latest: list[int | None] = [None, None]
         self.changes: list[EvacuationChange] = []
         self.states = [EvacuationSnapshot(revision=Revision(0), domains=frozenset())]
 
     @rule(domain=st.sampled_from(DOMAINS))
     def change(self, domain: FailureDomain) -> None:
-        """Evacuate a domain, or take it back."""
+        """Start or end the evacuation of a domain."""
         before = self.states[-1]
         revision = Revision(before.revision + 1)
         self.changes.append(
@@ -46,16 +46,16 @@
         )
 
     @rule(router=ROUTERS, data=st.data())
-    def read(self, router: int, data: st.DataObject) -> None:
-        """Read all of it, perhaps as of long ago."""
+    def receive_snapshot(self, router: int, data: st.DataObject) -> None:
+        """Apply a snapshot, perhaps an old one."""
         state = data.draw(st.sampled_from(self.states))
         self.routers[router].apply_snapshot(snapshot=state)
-        self._note(router, state.revision)
+        self._record(router, state.revision)
 
     @rule(router=ROUTERS, data=st.data())
-    def watch(self, router: int, data: st.DataObject) -> None:
-        """Hear what changed since a moment that the router knows."""
-        known = self.heard[router]
+    def receive_changes(self, router: int, data: st.DataObject) -> None:
+        """Apply the changes since a revision that the router knows."""
+        known = self.latest[router]
         if known is None:
             return
         after = data.draw(st.integers(0, known))
@@ -63,22 +63,22 @@
         self.routers[router].apply_changes(
             changes=self.changes[after:until], revision=Revision(until)
         )
-        self._note(router, until)
+        self._record(router, until)
 
-    @rule(teller=ROUTERS)
-    def tell(self, teller: int) -> None:
-        """Let one router tell the other what it knows."""
-        told = self.routers[teller].snapshot
-        if told is not None:
-            self.routers[1 - teller].apply_snapshot(snapshot=told)
-            self._note(1 - teller, told.revision)
+    @rule(sender=ROUTERS)
+    def exchange_snapshot(self, sender: int) -> None:
+        """Send the snapshot of one router to the other."""
+        snapshot = self.routers[sender].snapshot
+        if snapshot is not None:
+            self.routers[1 - sender].apply_snapshot(snapshot=snapshot)
+            self._record(1 - sender, snapshot.revision)
 
-    def _note(self, router: int, revision: int) -> None:
-        self.heard[router] = max(revision, self.heard[router] or 0)
+    def _record(self, router: int, revision: int) -> None:
+        self.latest[router] = max(revision, self.latest[router] or 0)
 
     @invariant()
-    def latest_news_is_in_force(self) -> None:
-        for router, revision in zip(self.routers, self.heard, strict=True):
+    def latest_update_is_in_force(self) -> None:
+        for router, revision in zip(self.routers, self.latest, strict=True):
             assert router.domains == self.states[revision or 0].domains
 
 
--- a/dotterelpaddle/tests/forwarding/test_fleet_updates.py
+++ b/dotterelpaddle/tests/forwarding/test_fleet_updates.py
@@ -1,4 +1,4 @@
-"""How configuration and endpoints reach a router, and what keeps them there."""
+"""Tests how routers receive configuration and endpoints, and keep them in outages."""
 
 from __future__ import annotations
 
@@ -53,7 +53,7 @@
         assert (await fleet.call("/safe/")).status == 404
 
 
-async def test_key_that_was_taken_away_opens_nothing() -> None:
+async def test_removed_key_is_refused() -> None:
     async with run_fleet() as fleet:
         tenants = [{"name": "acme", "apiKeys": ["key-2"]}]
         changed = configuration(version=2, tenants=tenants)
@@ -72,7 +72,7 @@
         await wait_until(lambda: _view(fleet).version == 8)
 
 
-async def test_older_version_never_comes_back() -> None:
+async def test_older_version_is_never_in_force_again() -> None:
     async with run_fleet() as fleet:
         fleet.store.configure(configuration=configuration(version=5))
         await wait_until(lambda: _view(fleet).version == 5)
@@ -102,7 +102,7 @@
         ),
     ],
 )
-async def test_malformed_configuration_is_kept_out(document: bytes) -> None:
+async def test_malformed_configuration_is_ignored(document: bytes) -> None:
     async with run_fleet() as fleet:
         calls = len(fleet.store.calls)
         fleet.store.configure(configuration=document)
@@ -114,7 +114,7 @@
         await wait_until(lambda: _view(fleet).version == 10)
 
 
-async def test_unknown_fields_are_left_out() -> None:
+async def test_unknown_fields_are_ignored() -> None:
     async with run_fleet() as fleet:
         newer = configuration(version=2, shapeOfThings={"to": "come"})
         newer["routes"][0]["colour"] = "red"
@@ -122,7 +122,7 @@
         await wait_until(lambda: _view(fleet).version == 2)
 
 
-async def test_leaving_endpoint_gets_nothing_new() -> None:
+async def test_leaving_endpoint_gets_no_new_requests() -> None:
     async with run_fleet(runners=2) as fleet:
         fleet.register("runner-1", state="draining")
         await wait_until(lambda: _names(fleet) == {"runner-2"})
@@ -140,7 +140,7 @@
         assert (await fleet.call("/safe/")).status == 200
 
 
-async def test_malformed_entry_is_left_out() -> None:
+async def test_malformed_entry_is_ignored() -> None:
     async with run_fleet() as fleet:
         fleet.store.put(table=Table.ENDPOINTS, key="broken", value={"service": 3})
         await fleet.add_runner("runner-2")
@@ -148,7 +148,7 @@
 
 
 @pytest.mark.parametrize("fault", FAULTS, ids=repr)
-async def test_router_serves_on_while_the_store_fails(fault) -> None:  # type: ignore[no-untyped-def]
+async def test_router_keeps_serving_while_the_store_fails(fault) -> None:  # type: ignore[no-untyped-def]
     async with run_fleet() as fleet:
         fleet.store.condition = fault
         fleet.store.wake()
@@ -161,7 +161,7 @@
         await wait_until(lambda: _view(fleet).version == 2)
 
 
-async def test_lost_history_is_made_good_by_a_whole_read() -> None:
+async def test_router_reads_a_snapshot_after_lost_history() -> None:
     async with run_fleet(runners=2) as fleet:
         fleet.store.condition = Refusing(status=503)
         fleet.store.wake()
@@ -175,7 +175,7 @@
         await wait_until(lambda: not _names(fleet))
 
 
-async def test_entries_that_lapsed_while_the_store_was_away_serve_on() -> None:
+async def test_entries_that_expired_in_a_store_outage_keep_serving() -> None:
     async with run_fleet(runners=2) as fleet:
         fleet.store.condition = Refusing(status=503)
         fleet.store.wake()
@@ -189,10 +189,10 @@
         await wait_until(lambda: _names(fleet) == {"runner-2"})
 
 
-async def test_router_that_the_store_turns_away_learns_from_others() -> None:
+async def test_router_without_store_access_gets_updates_from_peers() -> None:
     async with run_fleet() as fleet:
-        cut_off = await fleet.add_router(store=NO_STORE)
-        await wait_until(lambda: cut_off.parts.app.ready)
+        isolated = await fleet.add_router(store=NO_STORE)
+        await wait_until(lambda: isolated.parts.app.ready)
         assert (await fleet.call("/safe/", router=1)).status == 200
 
         fleet.store.configure(configuration=configuration(version=2))
@@ -210,7 +210,7 @@
         await wait_until(lambda: second.loads.loads()[endpoint] == 0)
 
 
-async def test_readiness_follows_the_stop() -> None:
+async def test_stopping_router_is_not_ready() -> None:
     async with run_fleet() as fleet:
         app = fleet.routers[0].parts.app
         assert app.ready
--- a/dotterelpaddle/tests/forwarding/test_follower.py
+++ b/dotterelpaddle/tests/forwarding/test_follower.py
@@ -1,4 +1,4 @@
-"""When a router calls the platform, and when it takes others' word."""
+"""Tests when a router calls the platform and when it relies on its peers."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 from dotterelpaddle.clock import monotonic
 from dotterelpaddle.exceptions import PlatformUnavailable
-from dotterelpaddle.forwarding import follower as following
+from dotterelpaddle.forwarding import follower as follower_module
 from dotterelpaddle.forwarding.follower import Follower
 from dotterelpaddle.forwarding.interface import EndpointsUpdate, OperatorUpdate
 from dotterelpaddle.forwarding.metrics import ForwardMetrics
@@ -27,37 +27,37 @@
 
 pytestmark = pytest.mark.anyio
 
-LOOKS = 20
-"""Looks at others' word after which a call that was due would have been made."""
+MIN_CHECKS = 20
+"""Checks of the peers' reports after which a due call would have been made."""
 
 
 @dataclass(kw_only=True)
-class ScriptedWord:
-    """What others vouch for, as the test says; counts how often it is asked."""
+class ScriptedPeers:
+    """Peer reports that the test sets; counts how often they are read."""
 
     is_platform_reader: bool = False
     receives_configurations: bool = False
     receives_endpoints: bool = False
     configuration_age: float = 0.0
-    behind: bool = False
+    outdated: bool = False
     age: float = 0.0
-    looks: int = 0
-    ages_told: int = 0
+    checks: int = 0
+    age_reads: int = 0
 
     @property
     def endpoints_outdated(self) -> bool:
-        self.looks += 1
-        return self.behind
+        self.checks += 1
+        return self.outdated
 
     @property
     def endpoints_age(self) -> float:
-        self.ages_told += 1
+        self.age_reads += 1
         return self.age
 
 
 @dataclass(kw_only=True)
 class ScriptedSource:
-    """Answers lists at once; configurations are waited for until cancelled."""
+    """Returns snapshots at once; waits for configurations until cancelled."""
 
     waits: list[float] = field(default_factory=list)
     endpoint_calls: int = 0
@@ -86,17 +86,17 @@
 
 
 class RecordingView(FleetView):
-    """Notes when the platform counts as back."""
+    """Counts platform recoveries."""
 
-    returns = 0
+    recoveries = 0
 
     def note_platform_recovery(self) -> None:
-        self.returns += 1
+        self.recoveries += 1
 
 
 @asynccontextmanager
 async def _follow(
-    word: ScriptedWord,
+    peers: ScriptedPeers,
     source: ScriptedSource,
     view: FleetView | None = None,
     clock: Clock = monotonic,
@@ -104,7 +104,7 @@
     follower = Follower(
         source=source,
         view=view or FleetView(clock=monotonic),
-        peer_summary=word,
+        peer_summary=peers,
         metrics=ForwardMetrics(),
         leaving_propagation_time=2.0,
         clock=clock,
@@ -117,124 +117,126 @@
 
 
 @pytest.fixture(autouse=True)
-def short_pauses(monkeypatch: pytest.MonkeyPatch) -> None:
-    pauses = (
+def short_intervals(monkeypatch: pytest.MonkeyPatch) -> None:
+    intervals = (
         "ENDPOINTS_INTERVAL_SECONDS",
         "MIN_ENDPOINTS_INTERVAL_SECONDS",
         "PEER_CHECK_INTERVAL_SECONDS",
         "MIN_RETRY_DELAY_SECONDS",
     )
-    for name in (*pauses, "GOSSIP_CHECK_INTERVAL_SECONDS"):
-        monkeypatch.setattr(following, name, 0.002)
+    for name in (*intervals, "GOSSIP_CHECK_INTERVAL_SECONDS"):
+        monkeypatch.setattr(follower_module, name, 0.002)
 
 
-async def test_what_others_vouch_for_is_not_read_again() -> None:
-    word, source = ScriptedWord(), ScriptedSource()
-    async with _follow(word, source):
-        await wait_until(lambda: word.looks > LOOKS)
+async def test_state_confirmed_by_peers_is_not_read_again() -> None:
+    peers, source = ScriptedPeers(), ScriptedSource()
+    async with _follow(peers, source):
+        await wait_until(lambda: peers.checks > MIN_CHECKS)
 
     assert source.endpoint_calls == 0
 
 
-async def test_news_that_another_has_is_read_at_once() -> None:
-    word, source = ScriptedWord(), ScriptedSource()
-    async with _follow(word, source):
-        await wait_until(lambda: word.looks > 0)
-        word.behind = True
+async def test_update_that_a_peer_has_is_read_at_once() -> None:
+    peers, source = ScriptedPeers(), ScriptedSource()
+    async with _follow(peers, source):
+        await wait_until(lambda: peers.checks > 0)
+        peers.outdated = True
         await wait_until(lambda: source.endpoint_calls > 0)
 
 
-async def test_word_that_is_too_old_is_not_relied_on(
+async def test_outdated_peer_reports_are_not_relied_on(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    monkeypatch.setattr(following, "MAX_ENDPOINTS_AGE_SHARE", 0.01)
-    word, source = ScriptedWord(), ScriptedSource()
-    async with _follow(word, source):
-        word.age = float("inf")
+    monkeypatch.setattr(follower_module, "MAX_ENDPOINTS_AGE_SHARE", 0.01)
+    peers, source = ScriptedPeers(), ScriptedSource()
+    async with _follow(peers, source):
+        peers.age = float("inf")
         await wait_until(lambda: source.endpoint_calls > 2)
 
 
-async def test_router_that_reads_first_does_not_wait_for_others() -> None:
-    word, source = ScriptedWord(is_platform_reader=True), ScriptedSource()
-    async with _follow(word, source):
+async def test_designated_reader_does_not_wait_for_peers() -> None:
+    peers, source = ScriptedPeers(is_platform_reader=True), ScriptedSource()
+    async with _follow(peers, source):
         await wait_until(lambda: source.endpoint_calls > 2)
         await wait_until(lambda: source.waits)
 
-    assert source.waits[0] == following.CONFIGURATION_WAIT_SECONDS
+    assert source.waits[0] == follower_module.CONFIGURATION_WAIT_SECONDS
 
 
-async def test_configuration_that_others_vouch_for_is_waited_for_long() -> None:
-    word, source = ScriptedWord(), ScriptedSource()
-    async with _follow(word, source):
+async def test_configuration_confirmed_by_peers_is_polled_with_a_long_wait() -> None:
+    peers, source = ScriptedPeers(), ScriptedSource()
+    async with _follow(peers, source):
         await wait_until(lambda: source.waits)
 
-    assert source.waits == [following.CONFIRMED_WAIT_SECONDS]
+    assert source.waits == [follower_module.CONFIRMED_WAIT_SECONDS]
 
 
-async def test_long_call_ends_when_nobody_vouches_any_more(
+async def test_long_poll_ends_when_no_peer_confirms_any_more(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    monkeypatch.setattr(following, "MAX_CONFIGURATION_AGE_SECONDS", 0.2)
-    word, source = ScriptedWord(), ScriptedSource()
-    async with _follow(word, source):
+    monkeypatch.setattr(follower_module, "MAX_CONFIGURATION_AGE_SECONDS", 0.2)
+    peers, source = ScriptedPeers(), ScriptedSource()
+    async with _follow(peers, source):
         await wait_until(lambda: source.waits)
-        word.configuration_age = float("inf")
+        peers.configuration_age = float("inf")
         await wait_until(lambda: len(source.waits) > 1)
 
     assert source.waits == [
-        following.CONFIRMED_WAIT_SECONDS,
-        following.CONFIGURATION_WAIT_SECONDS,
+        follower_module.CONFIRMED_WAIT_SECONDS,
+        follower_module.CONFIGURATION_WAIT_SECONDS,
     ]
 
 
-async def test_platform_that_others_hear_was_not_away() -> None:
+async def test_answers_to_peers_are_no_outage() -> None:
     now = 0.0
-    word = ScriptedWord(behind=True)
+    peers = ScriptedPeers(outdated=True)
     source, view = ScriptedSource(failing=True), RecordingView(clock=monotonic)
-    async with _follow(word, source, view, clock=lambda: now):
+    async with _follow(peers, source, view, clock=lambda: now):
         await wait_until(lambda: source.endpoint_calls > 0)
-        # Calls fail for long, but somebody hears of it between any two looks.
-        while now < 4 * following.OUTAGE_AFTER_FAILURE_SECONDS:
-            now += following.OUTAGE_AFTER_FAILURE_SECONDS / 4
-            told = word.ages_told
-            await wait_until(lambda told=told: word.ages_told > told + 1)
+        # Calls fail for long, but a peer gets an answer between any two checks.
+        while now < 4 * follower_module.OUTAGE_AFTER_FAILURE_SECONDS:
+            now += follower_module.OUTAGE_AFTER_FAILURE_SECONDS / 4
+            age_reads = peers.age_reads
+            await wait_until(
+                lambda age_reads=age_reads: peers.age_reads > age_reads + 1
+            )
         source.failing = False
         calls = source.endpoint_calls
         await wait_until(lambda: source.endpoint_calls > calls + 1)
 
-    assert view.returns == 0
+    assert view.recoveries == 0
 
 
-async def test_platform_that_nobody_heard_was_away(
+async def test_no_answer_to_any_router_is_an_outage(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    monkeypatch.setattr(following, "OUTAGE_AFTER_FAILURE_SECONDS", 0.05)
-    word = ScriptedWord(behind=True)
+    monkeypatch.setattr(follower_module, "OUTAGE_AFTER_FAILURE_SECONDS", 0.05)
+    peers = ScriptedPeers(outdated=True)
     source, view = ScriptedSource(failing=True), RecordingView(clock=monotonic)
-    async with _follow(word, source, view) as follower:
-        word.configuration_age = word.age = float("inf")
+    async with _follow(peers, source, view) as follower:
+        peers.configuration_age = peers.age = float("inf")
         await wait_until(lambda: source.endpoint_calls > 0 and follower.age > 0.1)
-        # Another one is the first to hear of its return.
-        word.age = 0.0
-        await wait_until(lambda: view.returns > 0)
+        # A peer is the first to get an answer after the outage.
+        peers.age = 0.0
+        await wait_until(lambda: view.recoveries > 0)
 
 
-async def test_router_that_is_told_all_news_makes_no_calls() -> None:
-    word = ScriptedWord(
-        receives_configurations=True, receives_endpoints=True, behind=True
+async def test_router_that_receives_all_updates_makes_no_calls() -> None:
+    peers = ScriptedPeers(
+        receives_configurations=True, receives_endpoints=True, outdated=True
     )
     source = ScriptedSource()
-    async with _follow(word, source):
-        await wait_until(lambda: word.ages_told > LOOKS)
+    async with _follow(peers, source):
+        await wait_until(lambda: peers.age_reads > MIN_CHECKS)
 
     assert source.endpoint_calls == 0
     assert source.waits == []
 
 
-async def test_router_whose_others_know_nothing_new_calls_itself() -> None:
-    word = ScriptedWord(receives_configurations=True, receives_endpoints=True)
+async def test_router_whose_peers_are_outdated_calls_itself() -> None:
+    peers = ScriptedPeers(receives_configurations=True, receives_endpoints=True)
     source = ScriptedSource()
-    async with _follow(word, source):
-        await wait_until(lambda: word.ages_told > LOOKS)
-        word.configuration_age = word.age = float("inf")
+    async with _follow(peers, source):
+        await wait_until(lambda: peers.age_reads > MIN_CHECKS)
+        peers.configuration_age = peers.age = float("inf")
         await wait_until(lambda: source.endpoint_calls > 1)
--- a/dotterelpaddle/tests/forwarding/test_health.py
+++ b/dotterelpaddle/tests/forwarding/test_health.py
@@ -1,7 +1,7 @@
-"""Endpoints that are passed over, and what that leaves to the others.
+"""Tests the ejection of endpoints, and that enough endpoints remain.
 
-The pattern: most endpoints of a service lose the answers of a fifth of their requests
-with a reset, and serve all others.
+Guards against ejecting most endpoints of a service when each loses a fifth of its
+answers to connection resets and serves all other requests.
 """
 
 from __future__ import annotations
@@ -27,7 +27,7 @@
         return len(self.health.usable(entries=ENTRIES))
 
 
-def test_endpoint_that_broke_off_is_passed_over_for_a_while() -> None:
+def test_endpoint_is_ejected_for_a_while_after_a_broken_connection() -> None:
     world = World()
     world.health.record_hard_failure(entry=ENTRIES[0], cause="broke off")
     at_once = world.usable()
@@ -37,10 +37,8 @@
     assert (at_once, later) == (4, 5)
 
 
-def test_endpoints_that_go_on_serving_are_not_all_passed_over_for_a_lost_answer() -> (
-    None
-):
-    """Each loses one answer and brings another, begun before, a moment later."""
+def test_endpoints_that_keep_serving_are_not_all_ejected_for_a_lost_answer() -> None:
+    """Each loses one answer and soon delivers another that it had started before."""
     world = World()
     for entry in ENTRIES[:4]:
         world.health.record_hard_failure(entry=entry, cause="the connection broke")
@@ -51,7 +49,7 @@
     assert world.usable() > len(ENTRIES) / 2
 
 
-def test_answer_that_was_under_way_when_its_endpoint_died_says_nothing() -> None:
+def test_answer_in_transit_when_its_endpoint_died_does_not_end_the_ejection() -> None:
     world = World()
     world.health.record_hard_failure(entry=ENTRIES[0], cause="the connection broke")
     world.now = IN_TRANSIT_SECONDS / 2
@@ -60,7 +58,7 @@
     assert world.usable() == 4
 
 
-def test_late_answer_of_a_silent_endpoint_does_not_bring_it_back() -> None:
+def test_late_answer_after_timeouts_does_not_end_the_ejection() -> None:
     world = World()
     world.health.record_timeout(entry=ENTRIES[0])
     world.health.record_timeout(entry=ENTRIES[0])
--- a/dotterelpaddle/tests/forwarding/test_herding.py
+++ b/dotterelpaddle/tests/forwarding/test_herding.py
@@ -1,4 +1,4 @@
-"""Many routers that know the same old loads do not all choose the same endpoint."""
+"""Tests that many routers with the same stale loads choose different endpoints."""
 
 from __future__ import annotations
 
@@ -52,7 +52,7 @@
 
 
 def _placer(*, routers: int, loads: dict[EndpointId, int], seed: int) -> ForwardPlacer:
-    """One router that was told of the requests of all others."""
+    """Return the placer of one router that knows the requests of all others."""
     view = FleetView(clock=lambda: 0.0)
     entries = tuple(make_entry(name, slots=64) for name in ENDPOINTS)
     view.apply_endpoints_update(
@@ -90,7 +90,7 @@
 def _chosen(
     request: ForwardRequest, *, routers: int, loads: dict[EndpointId, int]
 ) -> Counter[EndpointId]:
-    """Let each of some routers place one request at the same moment."""
+    """Let each router place one request at the same moment."""
     chosen: Counter[EndpointId] = Counter()
     for seed in range(routers):
         choice = _placer(routers=routers, loads=loads, seed=seed).choose(
@@ -107,21 +107,21 @@
     return {**dict.fromkeys(ENDPOINTS, MEAN), HOLDER: holder}
 
 
-def test_prompt_stays_with_its_holder_while_that_has_room() -> None:
+def test_prompt_stays_with_its_holder_below_the_bound() -> None:
     chosen = _chosen(HOT, routers=LARGE_FLEET_ROUTERS * 3, loads=_loads(holder=MEAN))
 
     assert chosen == {HOLDER: LARGE_FLEET_ROUTERS * 3}
 
 
-def test_few_routers_fill_the_holder_up_to_the_bound() -> None:
-    near = round(LOAD_MULTIPLE * MEAN)
+def test_few_routers_load_the_holder_up_to_the_bound() -> None:
+    near_bound = round(LOAD_MULTIPLE * MEAN)
 
-    chosen = _chosen(HOT, routers=LARGE_FLEET_ROUTERS, loads=_loads(holder=near))
+    chosen = _chosen(HOT, routers=LARGE_FLEET_ROUTERS, loads=_loads(holder=near_bound))
 
     assert chosen == {HOLDER: LARGE_FLEET_ROUTERS}
 
 
-def test_many_routers_send_less_the_nearer_the_holder_is_to_the_bound() -> None:
+def test_many_routers_send_less_as_the_holder_nears_the_bound() -> None:
     routers = LARGE_FLEET_ROUTERS * 4
     sent = [
         _chosen(HOT, routers=routers, loads=_loads(holder=load))[HOLDER]
@@ -135,16 +135,18 @@
 
 def test_many_routers_send_the_rest_to_several_endpoints() -> None:
     routers = LARGE_FLEET_ROUTERS * 4
-    full = 3 * MEAN
+    full_load = 3 * MEAN
 
-    chosen = _chosen(HOT, routers=routers, loads=_loads(holder=full))
+    chosen = _chosen(HOT, routers=routers, loads=_loads(holder=full_load))
 
     assert not chosen[HOLDER]
     assert max(chosen.values()) < routers / 4
 
 
 @pytest.mark.parametrize("count", [3, 20])
-def test_plain_requests_of_many_routers_go_to_several_endpoints(count: int) -> None:
+def test_promptless_requests_go_to_several_endpoints(
+    count: int,
+) -> None:
     routers = LARGE_FLEET_ROUTERS * 4
     loads = {**dict.fromkeys(ENDPOINTS, 100), ENDPOINTS[1]: 2, ENDPOINTS[2]: 3}
     if count == len(ENDPOINTS):
@@ -156,12 +158,12 @@
 
 
 @given(mean=st.floats(0, 100), nearness=st.floats(MIN_BOUND_FRACTION, 1.0))
-def test_bound_is_between_the_mean_and_the_whole_bound(
+def test_bound_is_between_the_mean_and_the_full_bound(
     mean: float, nearness: float
 ) -> None:
     entry = make_entry("a", slots=64)
 
     bound = load_bound(entry=entry, mean=mean, bound_fraction=nearness)
 
-    whole = load_bound(entry=entry, mean=mean)
-    assert min(mean + 1, whole) - 1e-9 <= bound <= max(mean + 1, whole) + 1e-9
+    full_bound = load_bound(entry=entry, mean=mean)
+    assert min(mean + 1, full_bound) - 1e-9 <= bound <= max(mean + 1, full_bound) + 1e-9
--- a/dotterelpaddle/tests/forwarding/test_isolation.py
+++ b/dotterelpaddle/tests/forwarding/test_isolation.py
@@ -1,4 +1,4 @@
-"""When a router asks the balancer for no more callers."""
+"""Tests when a router counts as isolated by a network partition."""
 
 from __future__ import annotations
 
@@ -23,11 +23,11 @@
 
 
 class ScriptedReachability:
-    """Says that the endpoints of some failure domains can't be reached."""
+    """Reports the endpoints of some failure domains as unreachable."""
 
     def __init__(self) -> None:
         self.unreachable: set[FailureDomain] = set()
-        self.checked: list[FailureDomain] = []
+        self.suspected: list[FailureDomain] = []
 
     def reachable(self, *, entries: Iterable[EndpointEntry]) -> list[EndpointEntry]:
         return [
@@ -35,15 +35,15 @@
         ]
 
     def check(self, *, failure_domain: FailureDomain) -> None:
-        self.checked.append(failure_domain)
+        self.suspected.append(failure_domain)
 
 
 class World:
-    """A router with routers and one endpoint in each failure domain."""
+    """A router in a fleet with routers and one endpoint in each failure domain."""
 
     def __init__(self, *, slots: dict[FailureDomain, int]) -> None:
         view = FleetView(clock=lambda: 0.0)
-        entries = tuple(_entry(domain, slots=many) for domain, many in slots.items())
+        entries = tuple(_entry(domain, slots=count) for domain, count in slots.items())
         view.apply_endpoints_update(
             update=EndpointsUpdate(
                 revision=Revision(1), entries=entries, is_snapshot=True
@@ -52,18 +52,18 @@
         self.now = 0.0
         self.view = view
         self.reachability = ScriptedReachability()
-        self.heard = dict.fromkeys(slots, True)
+        self.presence = dict.fromkeys(slots, True)
         self.isolation = IsolationDetector(
             view=view,
             reachability=_as_reachability(self.reachability),
             failure_domain=HERE,
-            router_presence=lambda: self.heard,
+            router_presence=lambda: self.presence,
             clock=lambda: self.now,
         )
 
-    def cut(self, *domains: FailureDomain) -> None:
+    def partition(self, *domains: FailureDomain) -> None:
         for domain in domains:
-            self.heard[domain] = False
+            self.presence[domain] = False
             self.reachability.unreachable.add(domain)
 
     def isolated(self) -> bool:
@@ -86,14 +86,14 @@
     )
 
 
-def _even() -> World:
+def _even_world() -> World:
     return World(slots={HERE: 8, NEAR: 8, FAR: 8})
 
 
-def test_isolation_tells_how_long_it_lasts() -> None:
-    world = _even()
+def test_duration_of_isolation() -> None:
+    world = _even_world()
     before = world.isolation.isolated_for
-    world.cut(NEAR, FAR)
+    world.partition(NEAR, FAR)
     world.now = 7.0
     world.isolated()
     world.now = 7.5
@@ -102,78 +102,78 @@
     assert world.isolation.isolated_for == 0.5
 
 
-def test_router_that_reaches_all_stays() -> None:
-    assert not _even().isolated()
+def test_router_that_reaches_all_domains_is_not_isolated() -> None:
+    assert not _even_world().isolated()
 
 
-def test_router_cut_off_from_most_failure_domains_leaves_and_comes_back() -> None:
-    world = _even()
-    world.cut(NEAR, FAR)
+def test_router_cut_off_from_most_domains_is_isolated_meanwhile() -> None:
+    world = _even_world()
+    world.partition(NEAR, FAR)
     assert world.isolated()
 
     world.reachability.unreachable.clear()
     assert not world.isolated()
 
 
-def test_router_of_the_larger_side_stays() -> None:
-    world = _even()
-    world.cut(FAR)
+def test_router_of_the_larger_side_is_not_isolated() -> None:
+    world = _even_world()
+    world.partition(FAR)
 
     assert not world.isolated()
 
 
-def test_of_two_equal_sides_none_leaves() -> None:
+def test_neither_of_two_equal_sides_is_isolated() -> None:
     world = World(slots={HERE: 8, FAR: 80})
-    world.cut(FAR)
+    world.partition(FAR)
 
     assert not world.isolated()
 
 
-def test_side_with_fewer_slots_is_not_sent_more_callers() -> None:
+def test_side_is_not_isolated_if_the_other_has_fewer_slots() -> None:
     world = World(slots={HERE: 64, NEAR: 8, FAR: 8})
-    world.cut(NEAR, FAR)
+    world.partition(NEAR, FAR)
 
     assert not world.isolated()
 
 
-def test_side_with_the_only_endpoint_of_a_service_stays() -> None:
-    world = _even()
+def test_side_with_the_only_endpoint_of_a_service_is_not_isolated() -> None:
+    world = _even_world()
     only = _entry(HERE, slots=1, service="records")
     world.view.apply_endpoints_update(
         update=EndpointsUpdate(revision=Revision(2), entries=(only,))
     )
-    world.cut(NEAR, FAR)
+    world.partition(NEAR, FAR)
 
     assert not world.isolated()
 
 
-def test_dead_endpoints_alone_are_no_cut() -> None:
-    world = _even()
+def test_dead_endpoints_alone_are_no_partition() -> None:
+    world = _even_world()
     world.reachability.unreachable = {NEAR, FAR}
 
     assert not world.isolated()
 
 
-def test_silent_routers_alone_are_no_cut_but_their_endpoints_are_checked() -> None:
-    world = _even()
-    world.heard = {HERE: True, NEAR: False, FAR: False}
+def test_endpoints_of_silent_routers_are_only_suspected() -> None:
+    world = _even_world()
+    world.presence = {HERE: True, NEAR: False, FAR: False}
 
     assert not world.isolated()
     assert not world.isolated()
-    assert sorted(world.reachability.checked) == sorted([NEAR, FAR])
+    assert sorted(world.reachability.suspected) == sorted([NEAR, FAR])
 
 
-def test_cut_lasts_when_silent_routers_are_forgotten() -> None:
-    world = _even()
-    world.cut(NEAR, FAR)
+def test_partition_lasts_when_silent_routers_are_dropped() -> None:
+    world = _even_world()
+    world.partition(NEAR, FAR)
     assert world.isolated()
-    world.heard = {}
+    world.presence = {}
 
     assert world.isolated()
 
 
 @pytest.mark.anyio
-async def test_isolated_router_is_not_ready_and_serves_on(
+async def test_isolated_router_is_not_ready_but_keeps_serving(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     async with run_fleet() as fleet:
--- a/dotterelpaddle/tests/forwarding/test_leaving_incident.py
+++ b/dotterelpaddle/tests/forwarding/test_leaving_incident.py
@@ -1,11 +1,9 @@
-"""Endpoints that say in their answers that they leave, or that they want quiet.
+"""Tests endpoints that report in their answers that they leave, or ask for a backoff.
 
-What was seen: with the store silent for 12 s a router sent requests to an engine for
-6 s after an answer of that engine had told it that it leaves; 2 s are allowed.
-
-How it came about: only the entry in the store was read, and that came late. What an
-answer says of its endpoint was not read at all, neither that it leaves nor for how long
-it wants nothing more.
+Guards against an incident in which a router, while the store gave no answers for 12 s,
+sent requests to an engine for 6 s after that engine had reported in an answer that it
+was leaving; 2 s are allowed. The router read only the entry in the store, which came
+late, and ignored both the leaving report and the backoff in answers.
 """
 
 from __future__ import annotations
@@ -33,7 +31,7 @@
 ]
 
 
-async def _call_until_told(fleet: Fleet, path: str, name: str) -> None:
+async def _call_until_reached(fleet: Fleet, path: str, name: str) -> None:
     """Send requests until one has reached an endpoint."""
     runner = fleet.runners[name]
     for _ in range(20):
@@ -44,35 +42,35 @@
 
 
 @pytest.mark.parametrize(("path", "plan"), ANSWERS, ids=repr)
-async def test_endpoint_that_says_it_leaves_gets_no_new_work(
+async def test_leaving_endpoint_gets_no_new_requests(
     path: str, plan: list[Behaviour]
 ) -> None:
-    """Guards against work for an endpoint whose answer said that it leaves."""
+    """Guards against requests to an endpoint that reported that it is leaving."""
     async with run_fleet(runners=2) as fleet:
         leaving = fleet.runners["runner-1"]
         leaving.leaving = True
         leaving.plan.extend(plan)
-        await _call_until_told(fleet, path, "runner-1")
+        await _call_until_reached(fleet, path, "runner-1")
         for _ in range(12):
             await fleet.call("/safe/")
 
     assert len(leaving.received) == 1
 
 
-async def test_endpoint_that_wants_quiet_gets_nothing_for_that_time() -> None:
-    """Guards against work for an endpoint that asked to be left alone."""
+async def test_endpoint_gets_no_requests_during_its_backoff() -> None:
+    """Guards against requests to an endpoint that asked for a backoff."""
     async with run_fleet(runners=2) as fleet:
-        quiet = fleet.runners["runner-1"]
-        quiet.plan.append(Refuse(retry_after=b"60"))
-        await _call_until_told(fleet, "/safe/", "runner-1")
+        backing_off = fleet.runners["runner-1"]
+        backing_off.plan.append(Refuse(retry_after=b"60"))
+        await _call_until_reached(fleet, "/safe/", "runner-1")
         for _ in range(12):
             await fleet.call("/safe/")
 
-    assert len(quiet.received) == 1
+    assert len(backing_off.received) == 1
 
 
-async def test_caller_is_told_when_an_endpoint_may_be_asked_again() -> None:
-    """Guards against refusals that invite callers back before any endpoint does."""
+async def test_refusal_names_the_end_of_the_shortest_backoff() -> None:
+    """Guards against a retry time before the end of every endpoint's backoff."""
     async with run_fleet(runners=2) as fleet:
         fleet.runners["runner-1"].plan.append(Refuse(retry_after=b"60"))
         fleet.runners["runner-2"].plan.append(Refuse(retry_after=b"50.5"))
@@ -86,13 +84,13 @@
     assert received == 2
 
 
-async def test_routers_tell_each_other_who_leaves() -> None:
-    """Guards against routers that go on where another one was told to stop."""
+async def test_routers_report_leaving_endpoints_to_each_other() -> None:
+    """Guards against routers that use an endpoint that reported leaving to a peer."""
     async with run_fleet(runners=2, routers=2) as fleet:
         leaving = fleet.runners["runner-1"]
         leaving.leaving = True
         view = fleet.routers[1].parts.state.view
-        await _call_until_told(fleet, "/safe/", "runner-1")
+        await _call_until_reached(fleet, "/safe/", "runner-1")
         await wait_until(lambda: len(view.ready(service=ServiceName("records"))) == 1)
         for _ in range(12):
             await fleet.call("/safe/", router=1)
@@ -103,10 +101,10 @@
 @pytest.mark.parametrize(
     "behaviour", [WrongEndpoint(), Foreign(), Foreign(request_id=b"")], ids=repr
 )
-async def test_answer_of_another_endpoint_says_nothing_of_the_one_that_was_meant(
+async def test_answer_of_another_endpoint_does_not_apply_to_the_addressed_one(
     behaviour: Behaviour,
 ) -> None:
-    """Guards against an endpoint that is lost for what another one has said."""
+    """Guards against excluding an endpoint for the report of another one."""
     async with run_fleet(runners=1) as fleet:
         runner = fleet.runners["runner-1"]
         runner.leaving = True
@@ -118,7 +116,7 @@
         assert EndpointId(runner.name) not in leaving
 
 
-async def test_endpoints_that_all_leave_serve_until_their_time_is_over() -> None:
+async def test_endpoints_that_all_leave_serve_until_their_serve_time_ends() -> None:
     """Guards against refusals while the only endpoints still serve."""
     async with run_fleet(runners=2) as fleet:
         for runner in fleet.runners.values():
--- a/dotterelpaddle/tests/forwarding/test_loads.py
+++ b/dotterelpaddle/tests/forwarding/test_loads.py
@@ -1,4 +1,4 @@
-"""What is counted at endpoints while requests are in flight."""
+"""Tests the loads and queued tokens of requests in flight."""
 
 from __future__ import annotations
 
@@ -10,41 +10,41 @@
 ENDPOINT = EndpointId("engine-1")
 
 
-def _book() -> tuple[LoadTracker, TotalsTracker]:
+def _tracker() -> tuple[LoadTracker, TotalsTracker]:
     shares = TotalsTracker(failure_domain=HERE, clock=lambda: 0.0)
     return LoadTracker(shares=shares), shares
 
 
-def test_prompt_waits_until_its_answer_begins() -> None:
-    book, _ = _book()
-    with book.track(endpoint=ENDPOINT, work_tokens=700) as held:
-        waiting = book.queued_tokens()[ENDPOINT]
-        held.answer_started()
-        begun = book.queued_tokens()[ENDPOINT]
-        load = book.loads()[ENDPOINT]
+def test_prompt_waits_for_prefill_until_its_answer_starts() -> None:
+    tracker, _ = _tracker()
+    with tracker.track(endpoint=ENDPOINT, work_tokens=700) as request:
+        waiting = tracker.queued_tokens()[ENDPOINT]
+        request.answer_started()
+        started = tracker.queued_tokens()[ENDPOINT]
+        load = tracker.loads()[ENDPOINT]
 
-    assert (waiting, begun, load) == (700, 0, 1)
-    assert not book.loads()
-    assert not book.queued_tokens()
+    assert (waiting, started, load) == (700, 0, 1)
+    assert not tracker.loads()
+    assert not tracker.queued_tokens()
 
 
-def test_request_that_ends_without_an_answer_waits_no_more() -> None:
-    book, _ = _book()
-    with book.track(endpoint=ENDPOINT, work_tokens=700):
+def test_request_that_ends_without_an_answer_leaves_no_queued_tokens() -> None:
+    tracker, _ = _tracker()
+    with tracker.track(endpoint=ENDPOINT, work_tokens=700):
         pass
 
-    assert not book.own
-    assert not book.own_queued_tokens
+    assert not tracker.own
+    assert not tracker.own_queued_tokens
 
 
-def test_what_waits_is_added_up_over_all_routers() -> None:
-    book, shares = _book()
+def test_queued_tokens_are_summed_over_all_routers() -> None:
+    tracker, shares = _tracker()
     shares.receive(
         router=RouterId("other"),
         failure_domain=HERE,
         totals=RequestTotals(loads={ENDPOINT: 2}, queued_tokens={ENDPOINT: 300}),
     )
-    with book.track(endpoint=ENDPOINT, work_tokens=700):
-        assert book.queued_tokens()[ENDPOINT] == 1000
-        own = RequestTotals(loads=book.own, queued_tokens=book.own_queued_tokens)
+    with tracker.track(endpoint=ENDPOINT, work_tokens=700):
+        assert tracker.queued_tokens()[ENDPOINT] == 1000
+        own = RequestTotals(loads=tracker.own, queued_tokens=tracker.own_queued_tokens)
         assert shares.domain_totals(own=own).queued_tokens == {ENDPOINT: 1000}
--- a/dotterelpaddle/tests/forwarding/test_reachability.py
+++ b/dotterelpaddle/tests/forwarding/test_reachability.py
@@ -1,4 +1,4 @@
-"""What becomes of requests whose endpoints are all out of reach."""
+"""Tests requests whose endpoints are all unreachable."""
 
 from __future__ import annotations
 
@@ -14,8 +14,8 @@
 pytestmark = pytest.mark.anyio
 
 
-class Cut:
-    """Lets connections to endpoints time out while it lasts."""
+class Partition:
+    """Makes connections to some endpoints time out."""
 
     def __init__(self, monkeypatch: pytest.MonkeyPatch) -> None:
         self.ports: set[int] = set()
@@ -31,8 +31,8 @@
         monkeypatch.setattr(LinkedBackend, "connect_tcp", _connect)
         monkeypatch.setattr(reachability, "PROBE_INTERVAL_SECONDS", 0.01)
 
-    async def off(self, *, fleet: Fleet) -> None:
-        """Cut all endpoints off, and wait until the first router knows it."""
+    async def cut_off(self, *, fleet: Fleet) -> None:
+        """Make all endpoints unreachable and wait until the first router knows it."""
         self.ports = {address.port for address in fleet.addresses.values()}
         await fleet.call("/safe/")
         parts = fleet.routers[0].parts
@@ -43,39 +43,39 @@
 
 
 def _failed_attempts(fleet: Fleet) -> float:
-    """Attempts that the first router made in vain."""
+    """Return the number of failed attempts of the first router."""
     page = fleet.routers[0].parts.metrics.render().decode()
     name = "dotterelpaddle_attempts_failed_total{"
     lines = [line for line in page.splitlines() if line.startswith(name)]
     return sum(float(line.rsplit(" ", 1)[1]) for line in lines)
 
 
-async def test_request_without_any_endpoint_in_reach_is_refused_at_once(
+async def test_request_is_refused_at_once_if_all_endpoints_are_unreachable(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    cut = Cut(monkeypatch)
+    partition = Partition(monkeypatch)
     async with run_fleet(runners=2) as fleet:
-        await cut.off(fleet=fleet)
-        tried = _failed_attempts(fleet)
+        await partition.cut_off(fleet=fleet)
+        failed = _failed_attempts(fleet)
         answer = await fleet.call("/unsafe/")
-        tried_again = _failed_attempts(fleet)
+        failed_in_total = _failed_attempts(fleet)
 
     assert answer.status == 503
     assert dict(answer.headers)[b"retry-after"]
-    assert tried > 0
-    assert tried_again == tried
+    assert failed > 0
+    assert failed_in_total == failed
     assert not any(runner.received for runner in fleet.runners.values())
 
 
-async def test_endpoints_that_are_back_in_reach_serve_again(
+async def test_endpoints_serve_again_once_reachable(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    cut = Cut(monkeypatch)
+    partition = Partition(monkeypatch)
     async with run_fleet(runners=2) as fleet:
-        await cut.off(fleet=fleet)
+        await partition.cut_off(fleet=fleet)
         parts = fleet.routers[0].parts
         entries = parts.state.view.entries
-        cut.ports.clear()
+        partition.ports.clear()
         await wait_until(
             lambda: len(parts.reachability.reachable(entries=entries)) == len(entries)
         )
--- a/dotterelpaddle/tests/forwarding/test_residency.py
+++ b/dotterelpaddle/tests/forwarding/test_residency.py
@@ -1,4 +1,4 @@
-"""Requests that may run in some regions only."""
+"""Tests requests that may run in some regions only."""
 
 from __future__ import annotations
 
@@ -25,7 +25,7 @@
 
 
 @pytest.mark.parametrize(
-    ("of_route", "of_account", "reached"),
+    ("route_regions", "account_regions", "reached"),
     [
         ([], [], {"here"}),
         (["east"], [], {"there"}),
@@ -35,16 +35,16 @@
         (["nowhere"], [], set()),
     ],
 )
-async def test_request_runs_where_route_and_account_allow_it(
-    of_route: list[str], of_account: list[str], reached: set[str]
+async def test_request_runs_only_in_regions_that_route_and_account_allow(
+    route_regions: list[str], account_regions: list[str], reached: set[str]
 ) -> None:
-    """Guards against work that leaves the regions that it is bound to."""
+    """Guards against requests that run outside their allowed regions."""
     account: dict[str, Any] = {"name": ACCOUNT, "apiKeys": [KEY]}
     async with run_fleet(
         runners=0,
         routers=0,
-        routes=[route("safe", "idempotent", allowedRegions=of_route)],
-        tenants=[{**account, "allowedRegions": of_account}],
+        routes=[route("safe", "idempotent", allowedRegions=route_regions)],
+        tenants=[{**account, "allowedRegions": account_regions}],
     ) as fleet:
         for domain in REGIONS:
             await fleet.add_runner(domain, zone=domain)
--- a/dotterelpaddle/tests/forwarding/test_settings.py
+++ b/dotterelpaddle/tests/forwarding/test_settings.py
@@ -1,4 +1,4 @@
-"""Settings of a forwarding router, and what is said of wrong ones."""
+"""Tests the settings of a forwarding router and the errors for invalid ones."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 if TYPE_CHECKING:
     from pathlib import Path
 
-RIGHT = {
+VALID = {
     "router": "router-1",
     "failure_domain": "here",
     "first_start": True,
@@ -55,7 +55,7 @@
 
 
 def test_settings_as_the_platform_writes_them(tmp_path: Path) -> None:
-    settings = load_settings(path=_write(tmp_path, orjson.dumps(RIGHT)))
+    settings = load_settings(path=_write(tmp_path, orjson.dumps(VALID)))
 
     assert settings.router == "router-1"
     assert settings.first_start
@@ -77,7 +77,7 @@
 
 
 @pytest.mark.parametrize(
-    ("change", "said"),
+    ("change", "message"),
     [
         ({"router": ""}, "'router' must be a text"),
         ({"store": None}, "'store' is missing"),
@@ -95,20 +95,20 @@
         ),
         ({"colour": "red"}, "'colour' is unknown"),
         (
-            {"repeats": {**RIGHT["repeats"], "shares": 1}},  # type: ignore[dict-item]
+            {"repeats": {**VALID["repeats"], "shares": 1}},  # type: ignore[dict-item]
             "'repeats.shares' is unknown",
         ),
     ],
 )
 def test_wrong_field_is_named(
-    tmp_path: Path, change: dict[str, object], said: str
+    tmp_path: Path, change: dict[str, object], message: str
 ) -> None:
-    path = _write(tmp_path, orjson.dumps({**RIGHT, **change}))
+    path = _write(tmp_path, orjson.dumps({**VALID, **change}))
 
     with pytest.raises(SettingsError, match="settings file") as caught:
         load_settings(path=path)
 
-    assert said in caught.value.message
+    assert message in caught.value.message
 
 
 def test_file_that_can_not_be_read(tmp_path: Path) -> None:
--- a/dotterelpaddle/tests/forwarding/test_starts.py
+++ b/dotterelpaddle/tests/forwarding/test_starts.py
@@ -1,4 +1,4 @@
-"""An endpoint that starts again under its name holds nothing from before."""
+"""Tests that state of an earlier incarnation never applies to a restarted endpoint."""
 
 from __future__ import annotations
 
@@ -30,8 +30,8 @@
 SERVICE = ServiceName("records")
 NAMES = [EndpointName("a"), EndpointName("b")]
 DOCUMENTS = PlatformDocumentDecoder()
-FIRST_START = 1_733_000_000_000
-FOREIGN = [b"", b"\xff", b"[]", b'{"service":"records"}', b'{"state":"resting"}']
+FIRST_INCARNATION = 1_733_000_000_000
+FOREIGN_VALUES = [b"", b"\xff", b"[]", b'{"service":"records"}', b'{"state":"resting"}']
 
 
 def _value(*, start: int, seq: int, state: EndpointState) -> bytes:
@@ -51,10 +51,10 @@
 
 
 class StartsMachine(RuleBasedStateMachine):
-    """Two routers hear of a store that endpoints, old starts and strangers write.
+    """Two routers follow a store with current, old and foreign writers.
 
-    Words come late, doubled and in any order: rows of the store's feed, whole lists,
-    and what one router hands to the other.
+    Updates arrive late, duplicated and in any order: rows of the store's feed,
+    snapshots, and updates from one router to the other.
     """
 
     def __init__(self) -> None:
@@ -77,26 +77,26 @@
         self.feed.append(self.table[name])
 
     @rule(name=st.sampled_from(NAMES), state=st.sampled_from(EndpointState))
-    def beat(self, name: EndpointName, state: EndpointState) -> None:
-        start = FIRST_START + self.starts[name]
+    def heartbeat(self, name: EndpointName, state: EndpointState) -> None:
+        start = FIRST_INCARNATION + self.starts[name]
         self._write(name, _value(start=start, seq=1, state=state))
 
     @rule(name=st.sampled_from(NAMES))
-    def start_again(self, name: EndpointName) -> None:
+    def restart(self, name: EndpointName) -> None:
         self.starts[name] += 1
-        self.beat(name, EndpointState.READY)
+        self.heartbeat(name, EndpointState.READY)
 
     @rule(name=st.sampled_from(NAMES), seq=st.integers(1, 1000))
-    def write_of_an_earlier_start_is_done_late(
+    def delayed_write_of_an_earlier_incarnation(
         self, name: EndpointName, seq: int
     ) -> None:
         if self.starts[name]:
-            start = FIRST_START + self.starts[name] - 1
+            start = FIRST_INCARNATION + self.starts[name] - 1
             state = EndpointState.READY
             self._write(name, _value(start=start, seq=seq, state=state))
 
-    @rule(name=st.sampled_from(NAMES), value=st.sampled_from(FOREIGN))
-    def another_writes(self, name: EndpointName, value: bytes) -> None:
+    @rule(name=st.sampled_from(NAMES), value=st.sampled_from(FOREIGN_VALUES))
+    def foreign_write(self, name: EndpointName, value: bytes) -> None:
         self._write(name, value)
 
     @rule(name=st.sampled_from(NAMES))
@@ -106,27 +106,27 @@
             self.feed.append({"key": name, "ver": self.revision, "removed": True})
 
     @rule(router=st.integers(0, 1), data=st.data())
-    def hear_rows(self, router: int, data: st.DataObject) -> None:
+    def receive_rows(self, router: int, data: st.DataObject) -> None:
         if not self.feed:
             return
         first = data.draw(st.integers(0, len(self.feed) - 1))
         rows = self.feed[first : first + data.draw(st.integers(1, 4))]
         entries, removed = self.decoders[router].decode(rows=rows)
         revision = Revision(rows[-1]["ver"])
-        read = EndpointsUpdate(revision=revision, entries=entries, removed=removed)
-        self.routers[router].apply_endpoints_update(update=read)
+        update = EndpointsUpdate(revision=revision, entries=entries, removed=removed)
+        self.routers[router].apply_endpoints_update(update=update)
 
     @rule(router=st.integers(0, 1))
     def read_all(self, router: int) -> None:
         entries, _ = self.decoders[router].decode(rows=self.table.values())
         revision = Revision(self.revision)
-        read = EndpointsUpdate(revision=revision, entries=entries, is_snapshot=True)
-        self.routers[router].apply_endpoints_update(update=read)
+        update = EndpointsUpdate(revision=revision, entries=entries, is_snapshot=True)
+        self.routers[router].apply_endpoints_update(update=update)
 
-    @rule(router=st.integers(0, 1), whole=st.booleans())
-    def hear_the_other_router(self, router: int, whole: bool) -> None:
+    @rule(router=st.integers(0, 1), from_scratch=st.booleans())
+    def fetch_from_peer(self, router: int, from_scratch: bool) -> None:
         view, other = self.routers[router], self.routers[1 - router]
-        revision = None if whole else view.endpoints_revision
+        revision = None if from_scratch else view.endpoints_revision
         content = encode_snapshot(
             view=other,
             caches=CacheMap(clock=lambda: 0.0),
@@ -139,27 +139,27 @@
             view.apply_endpoints_update(update=snapshot.endpoints)
 
     @invariant()
-    def no_router_goes_back_to_an_earlier_start(self) -> None:
+    def no_router_goes_back_to_an_earlier_incarnation(self) -> None:
         for view, latest in zip(self.routers, self.latest, strict=True):
             for entry in view.entries:
                 assert entry.incarnation >= latest.get(entry.name, 0)
                 latest[entry.name] = entry.incarnation
 
     @invariant()
-    def one_start_of_each_endpoint_is_used(self) -> None:
+    def one_incarnation_of_each_endpoint_is_used(self) -> None:
         for view in self.routers:
             names = [entry.name for entry in view.ready(service=SERVICE)]
             assert len(names) == len(set(names))
 
     def teardown(self) -> None:
-        """Each endpoint beats once more, and all is heard: both routers agree."""
+        """After one more heartbeat of each endpoint and a read, both routers agree."""
         for name in NAMES:
-            self.beat(name, EndpointState.READY)
+            self.heartbeat(name, EndpointState.READY)
         for router in (0, 1):
             self.read_all(router)
         for view in self.routers:
             assert {entry.name: entry.incarnation for entry in view.entries} == {
-                name: FIRST_START + start for name, start in self.starts.items()
+                name: FIRST_INCARNATION + start for name, start in self.starts.items()
             }
         one, other = self.routers
         assert one.endpoints_tag == other.endpoints_tag
@@ -168,50 +168,52 @@
 TestStarts = StartsMachine.TestCase
 
 
-def _hear(view: FleetView, *rows: tuple[int, int]) -> None:
-    """Hear rows of one endpoint: a revision and a start each."""
+def _receive(view: FleetView, *rows: tuple[int, int]) -> None:
+    """Apply rows of one endpoint, each a revision and a start."""
     for revision, start in rows:
-        value = _value(start=FIRST_START + start, seq=9, state=EndpointState.READY)
+        value = _value(
+            start=FIRST_INCARNATION + start, seq=9, state=EndpointState.READY
+        )
         entry = DOCUMENTS.endpoint(
             name=NAMES[0], document=value, revision=Revision(revision)
         )
-        read = EndpointsUpdate(revision=Revision(revision), entries=(entry,))
-        view.apply_endpoints_update(update=read)
+        update = EndpointsUpdate(revision=Revision(revision), entries=(entry,))
+        view.apply_endpoints_update(update=update)
 
 
-def test_row_of_an_earlier_start_does_not_bring_it_back_after_a_removal() -> None:
+def test_row_of_an_earlier_incarnation_does_not_restore_a_removed_entry() -> None:
     view = FleetView(clock=lambda: 0.0)
-    _hear(view, (1, 0), (2, 5))
+    _receive(view, (1, 0), (2, 5))
     gone = EndpointsUpdate(
         revision=Revision(3), entries=(), removed={NAMES[0]: Revision(3)}
     )
     view.apply_endpoints_update(update=gone)
-    _hear(view, (4, 0))
+    _receive(view, (4, 0))
 
     assert view.entries == ()
 
 
-def test_routers_that_know_different_starts_do_not_take_each_other_for_alike() -> None:
+def test_views_with_different_incarnations_have_different_tags() -> None:
     one, other = FleetView(clock=lambda: 0.0), FleetView(clock=lambda: 0.0)
-    _hear(one, (1, 0))
-    _hear(other, (1, 0), (2, 5))
+    _receive(one, (1, 0))
+    _receive(other, (1, 0), (2, 5))
 
     assert one.endpoints_tag != other.endpoints_tag
 
 
-def test_nothing_known_of_an_earlier_start_counts_for_the_next() -> None:
+def test_state_of_an_earlier_incarnation_does_not_apply_to_the_next() -> None:
     view = FleetView(clock=lambda: 0.0)
     caches, health = CacheMap(clock=lambda: 0.0), HealthTracker(clock=lambda: 0.0)
     shares = TotalsTracker(failure_domain=FailureDomain("here"), clock=lambda: 0.0)
     loads = LoadTracker(shares=shares)
-    _hear(view, (1, 0))
+    _receive(view, (1, 0))
     (before,) = view.entries
     caches.record_part(endpoint=before.endpoint, part=7)
     health.record_replaced(entry=before)
     health.record_hard_failure(entry=before, cause="broke off")
 
     with loads.track(endpoint=before.endpoint):
-        _hear(view, (2, 5))
+        _receive(view, (2, 5))
         (after,) = view.entries
 
         assert after.name == before.name
@@ -222,22 +224,24 @@
     assert (7, before.endpoint) in caches.all_uses()
 
 
-def test_list_of_a_cache_names_the_start_that_answered() -> None:
-    """It comes before the row of the new start is heard."""
+def test_cached_parts_name_the_incarnation_that_answered() -> None:
+    """The cached parts arrive before the row of the new incarnation."""
     view = FleetView(clock=lambda: 0.0)
-    _hear(view, (1, 0))
-    content = orjson.dumps({"born": FIRST_START + 5, "held": [["", "5c1e", 800, "m"]]})
+    _receive(view, (1, 0))
+    content = orjson.dumps(
+        {"born": FIRST_INCARNATION + 5, "held": [["", "5c1e", 800, "m"]]}
+    )
 
     cached = decode_cached_parts(content=content, entry=view.entries[0], leaving=True)
-    _hear(view, (2, 5))
+    _receive(view, (2, 5))
 
     assert [entry.endpoint for entry in view.entries] == [cached.endpoint]
     assert cached.leaving
 
 
-def test_list_of_a_cache_without_a_start_is_of_the_known_one() -> None:
+def test_cached_parts_without_a_start_belong_to_the_known_incarnation() -> None:
     view = FleetView(clock=lambda: 0.0)
-    _hear(view, (1, 0))
+    _receive(view, (1, 0))
     content = orjson.dumps({"held": [["", "5c1e", 800, "m"]]})
 
     cached = decode_cached_parts(content=content, entry=view.entries[0], leaving=True)
--- a/dotterelpaddle/tests/forwarding/test_timeouts.py
+++ b/dotterelpaddle/tests/forwarding/test_timeouts.py
@@ -1,4 +1,4 @@
-"""How long attempts wait."""
+"""Tests the timeouts of attempts."""
 
 from __future__ import annotations
 
@@ -30,56 +30,60 @@
 WHOLE = _route(RequestKind.IDEMPOTENT, 0.3)
 
 
-def _first(book: TimeoutEstimator, route: ForwardRoute, missing: int = 0) -> float:
-    patience = book.attempt_timeouts(
+def _first_byte_timeout(
+    estimator: TimeoutEstimator, route: ForwardRoute, missing_tokens: int = 0
+) -> float:
+    timeouts = estimator.attempt_timeouts(
         route=route,
         time_left=5.0,
         connect_timeout=0.1,
         may_retry=True,
-        missing_tokens=missing,
+        missing_tokens=missing_tokens,
     )
-    return patience.first_byte
+    return timeouts.first_byte
 
 
 @pytest.mark.parametrize("route", [STREAM, WHOLE])
-def test_wait_leaves_time_for_another_attempt(route: ForwardRoute) -> None:
-    book = TimeoutEstimator()
+def test_timeout_leaves_time_for_another_attempt(route: ForwardRoute) -> None:
+    estimator = TimeoutEstimator()
     for _ in range(50):
-        book.record_answer_start(route=route, seconds=0.05)
+        estimator.record_answer_start(route=route, seconds=0.05)
 
-    assert 0.05 < _first(book, route) < route.latency_objective
+    assert 0.05 < _first_byte_timeout(estimator, route) < route.latency_objective
 
 
-def test_waits_follow_the_objective() -> None:
+def test_timeouts_are_proportional_to_the_objective() -> None:
     slow, quick = _route(RequestKind.STREAM, 2.0), _route(RequestKind.STREAM, 0.2)
 
-    assert _first(TimeoutEstimator(), slow) == pytest.approx(
-        10 * _first(TimeoutEstimator(), quick)
+    assert _first_byte_timeout(TimeoutEstimator(), slow) == pytest.approx(
+        10 * _first_byte_timeout(TimeoutEstimator(), quick)
     )
 
 
-def test_wait_grows_with_what_is_to_be_read() -> None:
-    book = TimeoutEstimator()
+def test_timeout_grows_with_the_tokens_to_prefill() -> None:
+    estimator = TimeoutEstimator()
 
-    longer = _first(book, STREAM, missing=20_000) - _first(book, STREAM)
+    longer = _first_byte_timeout(
+        estimator, STREAM, missing_tokens=20_000
+    ) - _first_byte_timeout(estimator, STREAM)
 
     assert longer == pytest.approx(20_000 * PREFILL_SECONDS_PER_TOKEN)
 
 
-def test_giving_up_makes_more_patient_until_an_answer_comes() -> None:
-    book = TimeoutEstimator()
-    book.record_answer_start(route=WHOLE, seconds=0.05)
-    before = _first(book, WHOLE)
-    book.record_timeout(route=WHOLE)
-    after = _first(book, WHOLE)
-    book.record_answer_start(route=WHOLE, seconds=0.05)
+def test_timeout_grows_after_a_timeout_until_an_answer_starts() -> None:
+    estimator = TimeoutEstimator()
+    estimator.record_answer_start(route=WHOLE, seconds=0.05)
+    before = _first_byte_timeout(estimator, WHOLE)
+    estimator.record_timeout(route=WHOLE)
+    after = _first_byte_timeout(estimator, WHOLE)
+    estimator.record_answer_start(route=WHOLE, seconds=0.05)
 
     assert after > before
-    assert _first(book, WHOLE) <= before
+    assert _first_byte_timeout(estimator, WHOLE) <= before
 
 
-def test_what_can_not_be_repeated_waits_to_its_deadline() -> None:
-    patience = TimeoutEstimator().attempt_timeouts(
+def test_request_that_can_not_be_retried_waits_until_its_deadline() -> None:
+    timeouts = TimeoutEstimator().attempt_timeouts(
         route=STREAM,
         time_left=5.0,
         connect_timeout=0.1,
@@ -87,6 +91,6 @@
         missing_tokens=0,
     )
 
-    assert patience.first_byte == 5.0
-    assert patience.gap == 5.0
-    assert patience.connect < 1.0
+    assert timeouts.first_byte == 5.0
+    assert timeouts.gap == 5.0
+    assert timeouts.connect < 1.0
--- a/dotterelpaddle/tests/forwarding/test_view.py
+++ b/dotterelpaddle/tests/forwarding/test_view.py
@@ -1,4 +1,4 @@
-"""What a router acts on never goes back."""
+"""Tests that a router's view never goes back."""
 
 from __future__ import annotations
 
@@ -25,8 +25,8 @@
 from dotterelpaddle.tests.forwarding.entries import make_entry
 
 SERVICE = ServiceName("records")
-LIMIT = 30.0
-"""Seconds after which a wait fails."""
+TEST_TIMEOUT_SECONDS = 30.0
+"""Seconds after which a test that waits fails."""
 
 NAMES = [EndpointName(f"endpoint-{number}") for number in range(3)]
 LIMITS = CallerLimits(
@@ -47,10 +47,10 @@
 
 
 class ViewMachine(RuleBasedStateMachine):
-    """News of one history that comes late, doubled and in any order.
+    """Applies updates of one history late, duplicated and in any order.
 
-    The history is kept as whole lists and as single changes; the view must end
-    where the latest news that it heard stands.
+    The updates are snapshots and deltas; the view must match the latest update that
+    it received for each entry.
     """
 
     def __init__(self) -> None:
@@ -59,8 +59,8 @@
         self.view = FleetView(clock=lambda: self.now)
         self.revision = 0
         self.rows: dict[EndpointName, EndpointEntry] = {}
-        self.news: list[EndpointsUpdate] = []
-        self.heard: dict[EndpointName, tuple[int, EndpointEntry | None]] = {}
+        self.updates: list[EndpointsUpdate] = []
+        self.latest: dict[EndpointName, tuple[int, EndpointEntry | None]] = {}
         self.versions: list[int] = []
         self.draining: set[EndpointName] = set()
 
@@ -73,7 +73,7 @@
         self.revision += 1
         entry = _entry(name, self.revision, state)
         self.rows[name] = entry
-        self.news.append(
+        self.updates.append(
             EndpointsUpdate(revision=Revision(self.revision), entries=(entry,))
         )
 
@@ -83,7 +83,7 @@
             return
         self.revision += 1
         del self.rows[name]
-        self.news.append(
+        self.updates.append(
             EndpointsUpdate(
                 revision=Revision(self.revision),
                 entries=(),
@@ -93,7 +93,7 @@
 
     @rule()
     def list_all(self) -> None:
-        self.news.append(
+        self.updates.append(
             EndpointsUpdate(
                 revision=Revision(self.revision),
                 entries=tuple(self.rows.values()),
@@ -102,29 +102,29 @@
         )
 
     @rule(data=st.data())
-    def hear(self, data: st.DataObject) -> None:
-        if not self.news:
+    def receive(self, data: st.DataObject) -> None:
+        if not self.updates:
             return
-        read = data.draw(st.sampled_from(self.news))
-        self.view.apply_endpoints_update(update=read)
-        for entry in read.entries:
-            self._note(entry.name, entry.revision, entry)
-        for name, revision in read.removed.items():
-            self._note(name, revision, None)
-        if read.is_snapshot:
-            present = {entry.name for entry in read.entries}
-            for name, (known, last) in tuple(self.heard.items()):
-                if name not in present and last and known <= read.revision:
-                    self._note(name, read.revision, None)
-
-    def _note(
+        update = data.draw(st.sampled_from(self.updates))
+        self.view.apply_endpoints_update(update=update)
+        for entry in update.entries:
+            self._expect(entry.name, entry.revision, entry)
+        for name, revision in update.removed.items():
+            self._expect(name, revision, None)
+        if update.is_snapshot:
+            present = {entry.name for entry in update.entries}
+            for name, (known, last) in tuple(self.latest.items()):
+                if name not in present and last and known <= update.revision:
+                    self._expect(name, update.revision, None)
+
+    def _expect(
         self, name: EndpointName, revision: int, entry: EndpointEntry | None
     ) -> None:
-        known = self.heard.get(name)
+        known = self.latest.get(name)
         if known is None and entry is None:
             return
         if known is None or revision > known[0]:
-            self.heard[name] = (revision, entry)
+            self.latest[name] = (revision, entry)
 
     @rule(version=st.integers(1, 50))
     def configure(self, version: int) -> None:
@@ -141,11 +141,11 @@
         assert self.versions == sorted(self.versions)
 
     @invariant()
-    def latest_news_counts(self) -> None:
+    def latest_update_wins(self) -> None:
         ready = {entry.name for entry in self.view.ready(service=SERVICE)}
         expected = {
             name
-            for name, (_, entry) in self.heard.items()
+            for name, (_, entry) in self.latest.items()
             if entry is not None and entry.state is EndpointState.READY
         }
         assert ready == expected
@@ -154,23 +154,23 @@
 TestView = ViewMachine.TestCase
 
 
-def test_entry_that_came_and_went_unseen_does_not_come_back() -> None:
-    """Removals at 2 and 4 are heard before the entry that was written at 3."""
+def test_late_update_does_not_restore_an_entry_removed_again() -> None:
+    """The view receives removals at 2 and 4 before the entry written at 3."""
     view = FleetView(clock=lambda: 0.0)
     name = NAMES[1]
-    for read in (
+    for update in (
         EndpointsUpdate(revision=Revision(1), entries=(_entry(name, 1),)),
         EndpointsUpdate(revision=Revision(2), entries=(), removed={name: Revision(2)}),
         EndpointsUpdate(revision=Revision(4), entries=(), removed={name: Revision(4)}),
         EndpointsUpdate(revision=Revision(3), entries=(_entry(name, 3),)),
     ):
-        view.apply_endpoints_update(update=read)
+        view.apply_endpoints_update(update=update)
 
     assert view.entries == ()
     assert view.ready(service=SERVICE) == ()
 
 
-def test_entries_that_lapse_around_the_platforms_return_are_held() -> None:
+def test_entries_that_expire_around_a_platform_recovery_are_held() -> None:
     now = 0.0
     view = FleetView(clock=lambda: now)
     entry = _entry(NAMES[0], 1)
@@ -208,28 +208,28 @@
 
 
 @pytest.mark.anyio
-async def test_router_that_knows_nothing_long_after_its_start_keeps_nobody() -> None:
-    """It started behind a cut: what comes in is refused at once, not held."""
+async def test_incomplete_view_long_after_the_start_does_not_wait() -> None:
+    """A router that started in a network partition must refuse requests at once."""
     now = 0.0
     view = FleetView(clock=lambda: now)
     now = STARTUP_WAIT_SECONDS
 
-    with anyio.move_on_after(LIMIT) as scope:
+    with anyio.move_on_after(TEST_TIMEOUT_SECONDS) as scope:
         await view.wait_until_complete()
 
     assert not scope.cancelled_caught
     assert not view.complete
 
 
-def test_entry_of_a_service_that_nobody_routes_to_is_not_used() -> None:
-    """Another writer may name what it likes."""
+def test_entry_of_an_unrouted_service_is_not_used() -> None:
+    """Another writer may add entries of any service."""
     view = FleetView(clock=lambda: 0.0)
     foreign = make_entry("foreign", service=ServiceName("unheard-of"))
     own = _entry(NAMES[0], 1)
-    read = EndpointsUpdate(
+    update = EndpointsUpdate(
         revision=Revision(1), entries=(own, foreign), is_snapshot=True
     )
-    view.apply_endpoints_update(update=read)
+    view.apply_endpoints_update(update=update)
     before = view.routed_entries
     route = ForwardRoute(
         name="r",
