--- a/dotterelpaddle/forwarding/cold.py
+++ b/dotterelpaddle/forwarding/cold.py
@@ -80,10 +80,10 @@
         self._router_count = router_count
         self._clock = clock
         self._started_at = clock()
-        self._until: dict[EndpointId, float] = {}
-        self._last_until = float("-inf")
+        self._cold_until: dict[EndpointId, float] = {}
+        self._last_cold_until = float("-inf")
         self._sent: dict[EndpointId, deque[float]] = {}
-        view.on_entry(self._note)
+        view.on_entry(self._record_entry)
 
     @property
     def _any_cold(self) -> bool:
@@ -93,19 +93,19 @@
             (each.duration for each in self._view.slow_starts.values()), default=0
         )
         evacuation_ended_at = self._view.evacuations.last_ended_at
-        return now < max(self._last_until, evacuation_ended_at + max_duration)
+        return now < max(self._last_cold_until, evacuation_ended_at + max_duration)
 
     def retain(self, *, endpoints: frozenset[EndpointId]) -> None:
         """Delete the state of all endpoints except these."""
-        for endpoint in self._until.keys() - endpoints:
-            del self._until[endpoint]
+        for endpoint in self._cold_until.keys() - endpoints:
+            del self._cold_until[endpoint]
         for endpoint in self._sent.keys() - endpoints:
             del self._sent[endpoint]
 
     def is_cold(self, *, entry: EndpointEntry) -> bool:
         """Return whether an endpoint is cold, as far as this router knows."""
         now = self._clock()
-        if self._until.get(entry.endpoint, 0.0) > now:
+        if self._cold_until.get(entry.endpoint, 0.0) > now:
             return True
         slow_start = self._view.slow_starts.get(entry.service)
         if slow_start is None:
@@ -132,16 +132,16 @@
         if self._bounds is not None and self.is_cold(entry=entry):
             self._recent_requests(entry.endpoint).append(self._clock())
 
-    def _note(self, entry: EndpointEntry) -> None:
+    def _record_entry(self, entry: EndpointEntry) -> None:
         """Record how long an endpoint is still cold by its entry."""
         if self._bounds is None or not entry.cold_left:
             return
         until = self._clock() + entry.cold_left
-        known = self._until.get(entry.endpoint, 0.0)
+        known = self._cold_until.get(entry.endpoint, 0.0)
         if known <= self._clock():
             log.info("endpoint_cold", endpoint=entry.endpoint, seconds=entry.cold_left)
-        self._until[entry.endpoint] = max(until, known)
-        self._last_until = max(until, self._last_until)
+        self._cold_until[entry.endpoint] = max(until, known)
+        self._last_cold_until = max(until, self._last_cold_until)
 
     def _has_capacity(self, entry: EndpointEntry, decider: Decider) -> bool:
         return len(self._recent_requests(entry.endpoint)) < self._allowed_requests(
--- a/dotterelpaddle/forwarding/evacuations.py
+++ b/dotterelpaddle/forwarding/evacuations.py
@@ -95,7 +95,7 @@
         )
 
     def apply_snapshot(self, *, snapshot: EvacuationSnapshot) -> None:
-        """Apply a snapshot unless it is older than the known state."""
+        """Apply a snapshot if its revision is later than the known one."""
         if self._revision is None or snapshot.revision > self._revision:
             self._set(revision=snapshot.revision, domains=snapshot.domains)
 
--- a/dotterelpaddle/forwarding/health.py
+++ b/dotterelpaddle/forwarding/health.py
@@ -152,7 +152,7 @@
         return record is not None and record.replaced
 
     def is_healthy(self, *, endpoint: EndpointId) -> bool:
-        """Return whether an endpoint has had no hard failure since its last success."""
+        """Return whether an endpoint is not replaced and has no recent hard failure."""
         record = self._records.get(endpoint)
         return record is None or not (record.replaced or record.hard_failures)
 
--- a/dotterelpaddle/forwarding/isolation.py
+++ b/dotterelpaddle/forwarding/isolation.py
@@ -84,16 +84,16 @@
     def check(self) -> None:
         """Update the state by the current reports and reachability."""
         presence = self._router_presence()
-        silent = frozenset(
+        silent_domains = frozenset(
             domain for domain, present in presence.items() if not present
         )
-        for domain in silent - self._silent_domains:
+        for domain in silent_domains - self._silent_domains:
             # Requests would detect it too, but there may be none for a while.
             self._reachability.suspect_domain(failure_domain=domain)
-        self._silent_domains = silent
-        unreachable = self._unreachable()
+        self._silent_domains = silent_domains
+        unreachable_domains = self._unreachable()
         # Presence drops routers after a while; their domain stays lost without them.
-        self._lost_domains = (silent | self._lost_domains) & unreachable
+        self._lost_domains = (silent_domains | self._lost_domains) & unreachable_domains
         others = presence.keys() | {
             entry.failure_domain for entry in self._view.routed_entries
         }
--- a/dotterelpaddle/forwarding/leaving.py
+++ b/dotterelpaddle/forwarding/leaving.py
@@ -53,7 +53,7 @@
 @dataclass(kw_only=True, slots=True)
 class _LeavingRecord:
     at: float
-    telling: ReportState = field(default_factory=ReportState)
+    report_state: ReportState = field(default_factory=ReportState)
 
 
 class LeavingEndpoints:
@@ -79,9 +79,9 @@
     def receive(self, *, notices: Iterable[LeavingNotice]) -> None:
         """Process the notices of another router."""
         now = self._clock()
-        for note in notices:
-            record = _LeavingRecord(at=now - note.age)
-            self._add(note.endpoint, record, source="router")
+        for notice in notices:
+            record = _LeavingRecord(at=now - notice.age)
+            self._add(notice.endpoint, record, source="router")
 
     def exclude_leaving(
         self, *, entries: Iterable[EndpointEntry]
@@ -110,11 +110,11 @@
         due = [
             (endpoint, record)
             for endpoint, record in self._records.items()
-            if record.telling.is_due(now=now, interval=RESEND_INTERVAL_SECONDS)
+            if record.report_state.is_due(now=now, interval=RESEND_INTERVAL_SECONDS)
         ]
         due.sort(key=lambda item: item[1].at, reverse=True)
         for _, record in due[:MAX_NOTICES_PER_REPORT]:
-            record.telling.mark_reported(now=now)
+            record.report_state.mark_reported(now=now)
         return tuple(
             LeavingNotice(endpoint=endpoint, age=now - record.at)
             for endpoint, record in due[:MAX_NOTICES_PER_REPORT]
--- a/dotterelpaddle/forwarding/reachability.py
+++ b/dotterelpaddle/forwarding/reachability.py
@@ -95,7 +95,7 @@
         if timed_out and entry.failure_domain != self._failure_domain:
             suspects += self._entries_in(failure_domain=entry.failure_domain)
         self._add_suspects(
-            suspects=suspects, because_of=entry.endpoint, silent=timed_out
+            suspects=suspects, because_of=entry.endpoint, timed_out=timed_out
         )
 
     def suspect_domain(self, *, failure_domain: FailureDomain) -> None:
@@ -103,7 +103,7 @@
         self._add_suspects(
             suspects=self._entries_in(failure_domain=failure_domain),
             because_of="its routers",
-            silent=True,
+            timed_out=True,
         )
 
     async def run(self) -> None:
@@ -122,7 +122,7 @@
         return [entry for entry in entries if entry.failure_domain == failure_domain]
 
     def _add_suspects(
-        self, *, suspects: Iterable[EndpointEntry], because_of: str, silent: bool
+        self, *, suspects: Iterable[EndpointEntry], because_of: str, timed_out: bool
     ) -> None:
         for entry in suspects:
             if entry.endpoint not in self._suspects:
@@ -132,18 +132,18 @@
                     endpoint=entry.endpoint,
                     failure_domain=entry.failure_domain,
                     because_of=because_of,
-                    silent=silent,
+                    silent=timed_out,
                 )
         self._suspects_added.set()
 
     async def _probe(self, endpoint: EndpointId, probed: set[EndpointId]) -> None:
-        began_at = self._clock()
+        started_at = self._clock()
         entry = self._suspects[endpoint]
-        seconds = PROBE_TIMEOUT_SECONDS
-        while not await self._can_connect(entry=entry, seconds=seconds):
-            if seconds == RETRY_PROBE_TIMEOUT_SECONDS:
+        timeout = PROBE_TIMEOUT_SECONDS
+        while not await self._can_connect(entry=entry, timeout=timeout):
+            if timeout == RETRY_PROBE_TIMEOUT_SECONDS:
                 self._unreachable.add(endpoint)
-            seconds = RETRY_PROBE_TIMEOUT_SECONDS
+            timeout = RETRY_PROBE_TIMEOUT_SECONDS
             await anyio.sleep(PROBE_INTERVAL_SECONDS)
             if all(each.endpoint != endpoint for each in self._view.entries):
                 break
@@ -153,12 +153,12 @@
         log.info(
             "endpoint_suspicion_ended",
             endpoint=endpoint,
-            seconds=round(self._clock() - began_at, 3),
+            seconds=round(self._clock() - started_at, 3),
         )
 
-    async def _can_connect(self, *, entry: EndpointEntry, seconds: float) -> bool:
+    async def _can_connect(self, *, entry: EndpointEntry, timeout: float) -> bool:
         outcome = await probe_connection(
-            backend=self._backend, address=entry.address, timeout=seconds
+            backend=self._backend, address=entry.address, timeout=timeout
         )
         return outcome is ConnectionOutcome.ESTABLISHED
 
--- a/dotterelpaddle/forwarding/view.py
+++ b/dotterelpaddle/forwarding/view.py
@@ -206,7 +206,7 @@
         return self._ready.get(service, ())
 
     def ready(self, *, service: ServiceName) -> tuple[EndpointEntry, ...]:
-        """Endpoints of a service that are neither leaving nor evacuated."""
+        """Endpoints that accept new requests and are neither leaving nor evacuated."""
         available = self._leaving.exclude_leaving(
             entries=self.registered(service=service)
         )
