--- a/dotterelpaddle/tests/forwarding/test_isolation.py
+++ b/dotterelpaddle/tests/forwarding/test_isolation.py
@@ -34,7 +34,7 @@
             entry for entry in entries if entry.failure_domain not in self.unreachable
         ]
 
-    def check(self, *, failure_domain: FailureDomain) -> None:
+    def suspect_domain(self, *, failure_domain: FailureDomain) -> None:
         self.suspected.append(failure_domain)
 
 
