--- a/dotterelpaddle/forwarding/affinity.py
+++ b/dotterelpaddle/forwarding/affinity.py
@@ -1,4 +1,4 @@
-"""The endpoint of a prompt that none has read yet, the same for all routers."""
+"""Selects the preferred endpoint of an uncached prompt, the same at all routers."""
 
 from __future__ import annotations
 
@@ -18,13 +18,13 @@
 def preferred_endpoint(
     *, request: HasPrompt, candidates: Sequence[EndpointEntry], sharded: bool
 ) -> EndpointEntry:
-    """The endpoint that all routers prefer for a request's deepest shared part.
+    """Return the endpoint that all routers prefer for a request's last shared part.
 
     Args:
         request: The request.
-        candidates: Where it can go.
-        sharded: Whether owners decide, so that the part has a shard before it has an
-            endpoint there.
+        candidates: Eligible endpoints.
+        sharded: Whether shard owners place requests. The part then determines a shard
+            first, and an endpoint of that shard second.
     """
     part = shared_parts(request=request)[-1]
     key = part_tag(model=request.model, part=part)
--- a/dotterelpaddle/forwarding/cached_prompts.py
+++ b/dotterelpaddle/forwarding/cached_prompts.py
@@ -1,4 +1,4 @@
-"""Finds out where how much of a prompt is cached."""
+"""Looks up how much of a prompt each endpoint has cached."""
 
 from __future__ import annotations
 
@@ -22,15 +22,16 @@
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class CachedPrompt:
-    """Where how much of one prompt is cached.
+    """How much of one prompt each endpoint has cached.
 
     Attributes:
-        missing_tokens: Shared tokens that an endpoint lacks.
-        holder: The endpoint that lacks the least, None if none can be reached.
-        min_missing_tokens: The tokens that it lacks.
-        unique_tokens: Tokens of the prompt that no other one shares.
-        is_uncached: Whether nobody has any of the shared ones.
-        holder_domains: Failure domains of the candidates that lack no more than it.
+        missing_tokens: Shared tokens that each endpoint has not cached.
+        holder: Endpoint with the fewest missing tokens, None if none is reachable.
+        min_missing_tokens: Missing tokens of the holder.
+        unique_tokens: Tokens that no other prompt shares.
+        is_uncached: Whether no endpoint has any shared token.
+        holder_domains: Failure domains of the candidates that have as few missing
+            tokens as the holder.
     """
 
     missing_tokens: Mapping[EndpointId, int]
@@ -41,24 +42,24 @@
     holder_domains: frozenset[FailureDomain]
 
     def work_at(self, *, endpoint: EndpointId) -> PromptWork:
-        """What an endpoint has to do for the prompt."""
-        lacks = self.missing_tokens[endpoint]
-        elsewhere = max(0, lacks - self.min_missing_tokens)
+        """Return the work of an endpoint for the prompt."""
+        missing_tokens = self.missing_tokens[endpoint]
+        fetchable_tokens = max(0, missing_tokens - self.min_missing_tokens)
         return PromptWork(
-            missing_tokens=lacks,
-            fetchable_tokens=elsewhere,
+            missing_tokens=missing_tokens,
+            fetchable_tokens=fetchable_tokens,
             unique_tokens=self.unique_tokens,
         )
 
 
 class CachedPrompts:
-    """Looks prompts up.
+    """Looks up cached prompts among all endpoints of a service.
 
     Args:
-        view: The endpoints in force.
-        health: Results of requests.
-        reachability: Where no connection can be made.
-        caches: Where parts of prompts are.
+        view: Current endpoints and configuration.
+        health: Results of recent requests per endpoint.
+        reachability: Endpoints that this router can't connect to.
+        caches: Prompt parts that each endpoint has cached.
     """
 
     def __init__(
@@ -81,15 +82,15 @@
         candidates: Sequence[EndpointEntry],
         cached_at: EndpointId | None = None,
     ) -> CachedPrompt:
-        """Find out where how much of a prompt is cached.
+        """Return how much of a prompt each endpoint has cached.
 
-        Endpoints that are leaving count too, also those whose entries have just
-        gone: they hand out what they have.
+        This includes endpoints that are leaving or whose entries were just removed,
+        because other endpoints can still fetch from their caches.
 
         Args:
             request: The request.
-            candidates: Where it can go.
-            cached_at: Endpoint that has all shared parts, as the owner of it told.
+            candidates: Endpoints that the request may go to.
+            cached_at: Endpoint that has all shared parts according to its owner.
         """
         service = candidates[0].service
         holders = [entry for entry in self._view.entries if entry.service == service]
@@ -101,23 +102,27 @@
         holders = self._reachability.reachable(entries=holders)
         total = shared_tokens(request=request)
         cached = self._caches.cached_tokens(request=request)
-        missing = {
+        missing_tokens = {
             entry.endpoint: total - cached.get(entry.endpoint, 0)
             for entry in (*holders, *candidates)
         }
-        if cached_at in missing:
-            missing[cached_at] = 0
-        holder = min(holders, key=lambda entry: missing[entry.endpoint], default=None)
-        least = total if holder is None else missing[holder.endpoint]
+        if cached_at in missing_tokens:
+            missing_tokens[cached_at] = 0
+        holder = min(
+            holders, key=lambda entry: missing_tokens[entry.endpoint], default=None
+        )
+        min_missing_tokens = (
+            total if holder is None else missing_tokens[holder.endpoint]
+        )
         return CachedPrompt(
-            missing_tokens=missing,
+            missing_tokens=missing_tokens,
             holder=holder,
-            min_missing_tokens=least,
+            min_missing_tokens=min_missing_tokens,
             unique_tokens=request.prompt[-1].tokens,
-            is_uncached=least == total,
+            is_uncached=min_missing_tokens == total,
             holder_domains=frozenset(
                 entry.failure_domain
                 for entry in candidates
-                if missing[entry.endpoint] <= least
+                if missing_tokens[entry.endpoint] <= min_missing_tokens
             ),
         )
--- a/dotterelpaddle/forwarding/caches.py
+++ b/dotterelpaddle/forwarding/caches.py
@@ -1,9 +1,9 @@
-"""Which endpoints have read which parts of prompts, as far as routers know.
+"""Tracks which endpoints have cached which prompt parts.
 
-A part that an endpoint has read need not be read again there, if the parts
-before it are there too. Routers tell each other where they sent what, so that
-a part stays where it is when endpoints join or leave, and one that many
-requests share is known to be at several.
+An endpoint doesn't read a prompt part again if it has cached the part and all parts
+before it. Routers report to each other where they sent prompts. Placement therefore
+stays stable when endpoints join or leave, and every router knows all the endpoints
+that have a part which many requests share.
 """
 
 from __future__ import annotations
@@ -26,22 +26,22 @@
     from dotterelpaddle.ids import EndpointId, ModelId
 
 PART_EXPIRY_SECONDS = 120.0
-"""Seconds without use after which a part counts as dropped by its endpoint."""
+"""Seconds without use after which the map assumes that the endpoint evicted a part."""
 
 MAX_PARTS = 20_000
-"""Parts that are remembered: 3 MB, and far more than endpoints can keep."""
+"""Parts that the map holds: 3 MB, and far more than endpoints can cache."""
 
 MAX_STARTUP_WAIT_SECONDS = 0.3
-"""Seconds that requests wait after a router's start to learn where parts are; it
-takes about 0.1 s, and reading a prompt of 10,000 tokens 0.12 s and more."""
+"""Seconds that requests wait after a router's start until the map is populated. That
+takes about 0.1 s; reading a prompt of 10,000 tokens takes 0.12 s or more."""
 
 MIN_REPEAT_REPORT_SECONDS = 20.0
-"""Seconds until others are told again that a part is used where it was known to be;
-they forget it after six times that."""
+"""Seconds between two reports that an endpoint still uses a known part. Other routers
+expire the part after six times as long."""
 
 
 class UseOrigin(Enum):
-    """Where a use was heard of, which decides who is told of it."""
+    """Where a use was first reported, which determines the routers that it goes to."""
 
     LOCAL = "own"
     SAME_DOMAIN = "near"
@@ -49,7 +49,7 @@
 
 
 class CacheMap:
-    """Where parts of prompts are.
+    """Maps prompt parts to the endpoints that have cached them.
 
     Args:
         clock: Monotonic clock.
@@ -72,69 +72,70 @@
 
     @property
     def part_count(self) -> int:
-        """Parts that are remembered."""
+        """Number of parts in the map."""
         return len(self._holders)
 
     @property
     def is_populated(self) -> bool:
-        """Whether what endpoints had cached before this process began is known."""
+        """Whether the map has what endpoints cached before this process started."""
         return self._populated.is_set()
 
     def mark_populated(self) -> None:
-        """Note that it is, or can't be."""
+        """Mark the map as populated, or as impossible to populate."""
         self._populated.set()
 
     async def wait_until_populated(self) -> None:
-        """Wait until it is known, for a moment at most.
+        """Wait until the map is populated, at most MAX_STARTUP_WAIT_SECONDS.
 
-        A prompt that is placed before is read again at an endpoint that does not
-        have it, which takes as long as the wait and makes others wait as well.
+        A prompt that is placed earlier may go to an endpoint that has to read it
+        again. That takes as long as the wait and delays other requests as well.
         """
         with anyio.move_on_after(MAX_STARTUP_WAIT_SECONDS):
             await self._populated.wait()
 
     def cached_tokens(self, *, request: HasPrompt) -> dict[EndpointId, int]:
-        """Tell how many tokens of shared parts endpoints have; most have none.
+        """Return the cached shared tokens of each endpoint that has any.
 
-        A part counts only where all parts before it are.
+        A part counts only if the endpoint has all parts before it.
         """
         oldest = self._clock() - PART_EXPIRY_SECONDS
         cached: dict[EndpointId, int] = {}
-        before: Collection[EndpointId] | None = None
+        prefix_holders: Collection[EndpointId] | None = None
         for part in shared_parts(request=request):
             holders = self._holders.get(part_tag(model=request.model, part=part), {})
-            before = [
+            prefix_holders = [
                 endpoint
                 for endpoint, used_at in holders.items()
-                if used_at >= oldest and (before is None or endpoint in before)
+                if used_at >= oldest
+                and (prefix_holders is None or endpoint in prefix_holders)
             ]
-            for endpoint in before:
+            for endpoint in prefix_holders:
                 cached[endpoint] = cached.get(endpoint, 0) + part.tokens
         return cached
 
     def missing_tokens(self, *, endpoint: EndpointId, request: HasPrompt) -> int:
-        """Tell how many tokens of shared parts an endpoint would have to read."""
+        """Return the number of shared tokens that an endpoint would have to read."""
         total = shared_tokens(request=request)
         return total - self.cached_tokens(request=request).get(endpoint, 0)
 
     def record_prompt(
         self, *, endpoint: EndpointId, request: HasPrompt
     ) -> tuple[PartTag, ...]:
-        """Note that an endpoint reads a request's prompt.
+        """Record that an endpoint reads the prompt of a request.
 
         Returns:
-            The parts that were not known to be there.
+            The parts that were not recorded at the endpoint before.
         """
         new = []
         for part in shared_parts(request=request):
-            held = part_tag(model=request.model, part=part)
-            if endpoint not in self._holders.get(held, ()):
-                new.append(held)
-            self.record_part(endpoint=endpoint, part=held)
+            tag_of_part = part_tag(model=request.model, part=part)
+            if endpoint not in self._holders.get(tag_of_part, ()):
+                new.append(tag_of_part)
+            self.record_part(endpoint=endpoint, part=tag_of_part)
         return tuple(new)
 
     def retract_parts(self, *, endpoint: EndpointId, parts: Iterable[PartTag]) -> None:
-        """Note that an endpoint did not get a prompt after all."""
+        """Remove parts of a prompt that never reached its endpoint."""
         for part in parts:
             self._holders.get(part, {}).pop(endpoint, None)
             use = (part, endpoint)
@@ -142,28 +143,29 @@
             self._pending[UseOrigin.LOCAL].discard(use=use)
 
     def record_part(self, *, endpoint: EndpointId, part: PartTag) -> None:
-        """Note that an endpoint has a part, and tell other routers."""
+        """Record that an endpoint has a part, and queue that for other routers."""
         self._record_use((part, endpoint), UseOrigin.LOCAL, self._clock())
 
     def receive(
         self, *, uses: Iterable[PartUse], forward_as: UseOrigin | None = None
     ) -> None:
-        """Take in where another router sent requests.
+        """Record the uses that another router reported.
 
         Args:
-            uses: What it told.
-            forward_as: Where it is, if others hear of it through this router.
+            uses: The reported uses.
+            forward_as: Origin under which this router forwards them to other routers,
+                None not to forward them.
         """
         now = self._clock()
         for use in uses:
             self._record_use(use, forward_as, now)
 
     def take_pending(self, *, origin: UseOrigin = UseOrigin.LOCAL) -> list[PartUse]:
-        """The next uses of an origin to tell the others; each is told a few times."""
+        """Return the uses of an origin for the next report; each goes into several."""
         return self._pending[origin].take()
 
     def all_uses(self) -> list[PartUse]:
-        """All that is known, for a router that has just started."""
+        """Return all uses, for a router that has just started."""
         return [
             (part, endpoint)
             for part, holders in self._holders.items()
@@ -171,7 +173,7 @@
         ]
 
     def _record_use(self, use: PartUse, origin: UseOrigin | None, now: float) -> None:
-        """Note a use, and let others be told unless they have been of late."""
+        """Record a use, and queue it for reports unless it was reported recently."""
         part, endpoint = use
         is_new = endpoint not in self._holders.get(part, ())
         if (
@@ -197,15 +199,15 @@
 
 
 def shared_parts(*, request: HasPrompt) -> Sequence[PromptPart]:
-    """Parts of a prompt that other requests share: all but the last, its own."""
+    """Return the parts of a prompt that other requests share: all but the last."""
     return request.prompt[:-1]
 
 
 def shared_tokens(*, request: HasPrompt) -> int:
-    """Length of the parts of a prompt that other requests share."""
+    """Return the number of tokens in the shared parts of a prompt."""
     return sum(part.tokens for part in shared_parts(request=request))
 
 
 def part_tag(*, model: ModelId, part: PromptPart) -> PartTag:
-    """Short name of a part as one model caches it."""
+    """Return the tag of a part in the cache of one model."""
     return tag(text=f"{model}/{part.digest}")
--- a/dotterelpaddle/forwarding/candidates.py
+++ b/dotterelpaddle/forwarding/candidates.py
@@ -1,4 +1,4 @@
-"""Which endpoints may get a request at all."""
+"""Filters the endpoints that are eligible for a request."""
 
 from __future__ import annotations
 
@@ -18,23 +18,23 @@
     from dotterelpaddle.ids import EndpointId, ServiceName
 
 NO_ENDPOINT_RETRY_AFTER_SECONDS = 0.3
-"""Seconds after which a caller may come back when no endpoint is known.
+"""Retry-after for callers when the router knows no usable endpoint.
 
-A starting endpoint registers within a second or two, others take over at once.
+A starting endpoint registers within one or two seconds; a standby takes over at once.
 """
 
 EVACUATED_RETRY_AFTER_SECONDS = 1.0
-"""The same when all endpoints of a service are in evacuated failure domains."""
+"""Retry-after when all endpoints of a service are in evacuated failure domains."""
 
 
 class Candidates:
-    """Leaves out endpoints that leave, ask for quiet, fail or are out of reach.
+    """Leaves out endpoints that are leaving, backing off, ejected or unreachable.
 
     Args:
-        view: The endpoints in force.
-        health: Results of requests.
-        reachability: Where no connection can be made.
-        quiet: Endpoints that want nothing from this router for a while.
+        view: Current endpoints and configuration.
+        health: Results of recent requests per endpoint.
+        reachability: Endpoints that this router can't connect to.
+        quiet: Endpoints that asked this router to back off.
     """
 
     def __init__(
@@ -57,15 +57,15 @@
         request: HasPrompt,
         excluded: frozenset[EndpointId],
     ) -> list[EndpointEntry]:
-        """Return the endpoints of a service that are not passed over."""
-        fresh = self._untried(service=service, request=request, excluded=excluded)
-        reachable = self._reachability.reachable(entries=fresh)
+        """Return the healthy, reachable endpoints of a service."""
+        untried = self._untried(service=service, request=request, excluded=excluded)
+        reachable = self._reachability.reachable(entries=untried)
         return self._health.usable(entries=reachable)
 
     def matching(
         self, *, service: ServiceName, request: HasPrompt
     ) -> list[EndpointEntry]:
-        """Return the endpoints of a service that take a request as far as known."""
+        """Return the ready endpoints that serve the model and are not backing off."""
         return [
             entry
             for entry in self._view.ready(service=service)
@@ -81,47 +81,55 @@
         request: HasPrompt,
         excluded: frozenset[EndpointId],
     ) -> Sequence[EndpointEntry]:
-        """Return the usable endpoints, or what is left where none is.
+        """Return the usable endpoints, or less suitable ones if there are none.
 
         Raises:
-            NoEndpoint: If nothing is.
+            NoEndpoint: If the service has no endpoint to try.
         """
-        fresh = self._untried(service=service, request=request, excluded=excluded)
-        reachable = self._reachability.reachable(entries=fresh)
+        untried = self._untried(service=service, request=request, excluded=excluded)
+        reachable = self._reachability.reachable(entries=untried)
         usable = self._health.usable(entries=reachable)
         if usable:
             return usable
-        # All have failed of late: any of them is better than a refusal.
-        last = [
+        # All endpoints failed recently: trying one of them beats refusing the request.
+        last_resort = [
             entry
             for entry in self._view.last_resort(service=service)
             if entry.endpoint not in excluded
             and serves_model(entry=entry, request=request)
             and not self._quiet.is_backing_off(endpoint=entry.endpoint)
         ]
-        for entries_left in (reachable, fresh, last):
-            remaining = self._reachability.possibly_reachable(entries=entries_left)
+        for entries in (reachable, untried, last_resort):
+            remaining = self._reachability.possibly_reachable(entries=entries)
             if remaining:
                 return remaining
         raise NoEndpoint(
-            f"service '{service}' has no endpoint that takes this request, "
-            f"{len(fresh)} of its endpoints are out of reach",
-            retry_after=self._retry_after(service=service, untried=fresh),
+            f"service '{service}' has no endpoint that accepts this request; "
+            f"{len(untried)} of its endpoints are unreachable",
+            retry_after=self._retry_after(service=service, untried=untried),
         )
 
     def _retry_after(
         self, *, service: ServiceName, untried: Sequence[EndpointEntry]
     ) -> float:
-        """Seconds until an endpoint may be there again.
+        """Return the seconds until an endpoint may be usable again.
 
-        Where all that are left asked for quiet, it is the end of the shortest; an
+        If all remaining endpoints are backing off, this is the shortest backoff. An
         evacuation lasts for many seconds.
         """
-        listed = self._view.registered(service=service)
-        if listed and not self._view.evacuations.exclude_evacuated(entries=listed):
+        registered = self._view.registered(service=service)
+        if registered and not self._view.evacuations.exclude_evacuated(
+            entries=registered
+        ):
             return EVACUATED_RETRY_AFTER_SECONDS
-        quiet = self._quiet.shortest_wait(entries=self._view.ready(service=service))
-        return NO_ENDPOINT_RETRY_AFTER_SECONDS if untried or quiet is None else quiet
+        shortest_wait = self._quiet.shortest_wait(
+            entries=self._view.ready(service=service)
+        )
+        return (
+            NO_ENDPOINT_RETRY_AFTER_SECONDS
+            if untried or shortest_wait is None
+            else shortest_wait
+        )
 
     def _untried(
         self,
@@ -135,5 +143,5 @@
 
 
 def serves_model(*, entry: EndpointEntry, request: HasPrompt) -> bool:
-    """Tell whether an endpoint has the model that a request asks for."""
+    """Return whether an endpoint serves the model of a request."""
     return not request.model or not entry.models or request.model in entry.models
--- a/dotterelpaddle/forwarding/choice.py
+++ b/dotterelpaddle/forwarding/choice.py
@@ -1,4 +1,4 @@
-"""What a placer chose, and why."""
+"""The result of a placement decision and its reason."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 
 class ChoiceReason(Enum):
-    """Why an endpoint was chosen."""
+    """Why the placer chose an endpoint."""
 
     CACHED = "cached"
     LEAST_COST = "least_cost"
@@ -21,7 +21,7 @@
 
 
 class LocalChoiceReason(Enum):
-    """Why a router chose by itself, on reports, instead of an owner."""
+    """Why a router chose from reported loads instead of asking a shard owner."""
 
     FEW_ENDPOINTS = "few_endpoints"
     NO_OWNER = "no_owner"
@@ -31,22 +31,23 @@
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class Choice:
-    """An endpoint chosen for a request, with the reasons.
+    """The endpoint chosen for a request, and the figures behind the choice.
 
     Attributes:
-        entry: The endpoint.
-        reason: Why it was chosen.
-        load: Its requests in flight, this one excluded.
-        mean_load: The mean over the candidates.
-        candidate_count: Endpoints that it was chosen from.
-        part_tag: Tag of the deepest shared part of the prompt, 0 without one.
-        missing_tokens: Shared prompt tokens that it does not have.
-        work_tokens: Time that it takes until it can answer, in tokens read.
-        fetch_from: Endpoint from whose cache it may fetch them, None if none
-            has more of them.
-        new_parts: Parts that it was not known to have before this choice.
-        decided_by: The owner that chose it, None for this router itself.
-        local_reason: Why this router chose it itself, None where an owner did.
+        entry: The chosen endpoint.
+        reason: Why the placer chose it.
+        load: Requests in flight at the endpoint, without this request.
+        mean_load: Mean requests in flight over the candidates.
+        candidate_count: Number of candidates.
+        part_tag: Tag of the longest shared part of the prompt, 0 if it has none.
+        missing_tokens: Shared prompt tokens that the endpoint has not cached.
+        work_tokens: Work before the endpoint can answer, in prompt tokens that it
+            could read in the same time.
+        fetch_from: Endpoint whose cache has more of the missing tokens, None if no
+            endpoint has.
+        new_parts: Prompt parts that were not recorded at the endpoint before.
+        decided_by: Shard owner that made the choice, None if this router did.
+        local_reason: Why this router made the choice, None if an owner did.
     """
 
     entry: EndpointEntry
--- a/dotterelpaddle/forwarding/components.py
+++ b/dotterelpaddle/forwarding/components.py
@@ -1,4 +1,4 @@
-"""Puts the parts of a forwarding router together, without running them."""
+"""Builds the components of a forwarding router without running them."""
 
 from __future__ import annotations
 
@@ -65,14 +65,14 @@
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class Dependencies:
-    """What a router is connected to.
+    """What a router needs from its process.
 
     Attributes:
-        source: Where configuration and endpoints are kept.
+        source: Store of the configuration and the endpoints.
         protocols: Translates callers' requests and endpoints' answers.
-        documents: Decodes what the source holds.
-        cache_reader: Asks endpoints for what they have cached.
-        links: The process's links.
+        documents: Decodes the documents of the source.
+        cache_reader: Requests the list of cached prompt parts from an endpoint.
+        links: Network links of the process.
         clock: Monotonic clock.
     """
 
@@ -86,19 +86,19 @@
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class SharedState:
-    """What a router knows, which its parts share.
+    """State that the components of a router share.
 
     Attributes:
-        view: Configuration and endpoints in force.
-        totals: What other routers told of their requests.
-        loads: Requests in flight.
-        health: Results of requests.
-        liveness: Signs of life of endpoints.
-        quiet: Endpoints that want nothing from this router for a while.
-        cold: What cold endpoints may get.
-        caches: Where parts of prompts are.
-        crashes: Under which requests endpoints ended.
-        retry_budget: What repeats cost.
+        view: Current configuration and endpoints.
+        totals: Request totals that other routers reported.
+        loads: Requests in flight per endpoint.
+        health: Results of recent requests per endpoint.
+        liveness: Time of the last bytes from each endpoint.
+        quiet: Endpoints that asked this router to back off.
+        cold: Limits for endpoints that have just started.
+        caches: Prompt parts that each endpoint has cached.
+        crashes: Requests that were running when endpoints crashed.
+        retry_budget: Limits the retries of all routers.
         directory: The other routers.
     """
 
@@ -117,21 +117,22 @@
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class Components:
-    """The parts of a router that are run.
+    """The running components of a router.
 
     Attributes:
-        state: What they share.
+        state: State that the components share.
         app: Serves callers.
-        placer: Chooses endpoints.
-        client: Client of endpoints.
-        follower: Reads from the source.
-        reachability: Tries connections to endpoints that could not be reached.
-        termination_prober: Finds out whether endpoints that broke off have ended.
-        isolation: Tells whether other routers serve callers better.
+        placer: Selects endpoints.
+        client: Sends requests to endpoints.
+        follower: Follows changes of the source.
+        reachability: Probes endpoints that could not be reached.
+        termination_prober: Determines whether an endpoint that broke a connection
+            has crashed.
+        isolation: Detects that this router is cut off from most endpoints.
         exchange: Exchanges reports with other routers.
-        owners: Exchanges questions and counts with owners of shards.
-        fetcher: Fetches from other routers what is lacking.
-        metrics: Renders what was counted.
+        owners: Exchanges placement requests and counts with shard owners.
+        fetcher: Fetches missing state from other routers.
+        metrics: Renders the metrics page.
     """
 
     state: SharedState
@@ -148,7 +149,7 @@
     metrics: MetricsPage
 
     def start_draining(self) -> None:
-        """Let callers go elsewhere, and other routers take over."""
+        """Announce to callers and to other routers that this router is leaving."""
         self.app.start_draining()
         self.state.directory.announce_leaving()
 
@@ -156,148 +157,146 @@
 def build_components(
     *, settings: ForwardSettings, dependencies: Dependencies
 ) -> Components:
-    """Put the parts of a router together.
+    """Build the components of a router.
 
     Args:
-        settings: The router's settings.
-        dependencies: What it is connected to.
+        settings: Settings of the router.
+        dependencies: What the router needs from its process.
     """
     clock = dependencies.clock
     generator = random.Random(settings.router)
-    knowledge = _build_shared_state(settings=settings, clock=clock)
-    directory = knowledge.directory
+    state = _build_shared_state(settings=settings, clock=clock)
+    directory = state.directory
     backend = LinkedBackend(links=dependencies.links)
     client = ForwardClient(
         protocols=dependencies.protocols,
         backend=backend,
         clock=clock,
-        signs=knowledge.liveness,
-        notices=EndpointNotices(
-            leaving=knowledge.view.leaving, backoffs=knowledge.quiet
-        ),
+        signs=state.liveness,
+        notices=EndpointNotices(leaving=state.view.leaving, backoffs=state.quiet),
     )
-    word = PeerSummary(
-        view=knowledge.view,
+    peer_summary = PeerSummary(
+        view=state.view,
         directory=directory,
-        shares=knowledge.totals,
+        shares=state.totals,
         clock=clock,
     )
     metrics = ForwardMetrics()
     follower = Follower(
         source=dependencies.source,
-        view=knowledge.view,
-        peer_summary=word,
+        view=state.view,
+        peer_summary=peer_summary,
         metrics=metrics,
         leaving_propagation_time=settings.leaving_propagation_time,
         clock=clock,
         generator=generator,
     )
     reachability = Reachability(
-        view=knowledge.view,
+        view=state.view,
         backend=backend,
         failure_domain=settings.failure_domain,
         clock=clock,
     )
-    endings = TerminationProber(
+    termination_prober = TerminationProber(
         backend=backend,
         reachability=reachability,
-        crashes=knowledge.crashes,
-        leaving=knowledge.view.leaving,
+        crashes=state.crashes,
+        leaving=state.view.leaving,
         clock=clock,
     )
     isolation = IsolationDetector(
-        view=knowledge.view,
+        view=state.view,
         reachability=reachability,
         failure_domain=settings.failure_domain,
         router_presence=directory.reachable_domains,
         clock=clock,
     )
     placer = ForwardPlacer(
-        view=knowledge.view,
-        loads=knowledge.loads,
-        health=knowledge.health,
+        view=state.view,
+        loads=state.loads,
+        health=state.health,
         reachability=reachability,
-        quiet=knowledge.quiet,
-        cold=knowledge.cold,
-        caches=knowledge.caches,
+        quiet=state.quiet,
+        cold=state.cold,
+        caches=state.caches,
         failure_domain=settings.failure_domain,
         generator=generator,
     )
-    shards = ShardMap(view=knowledge.view)
-    requests = InFlightReporter(
-        router=settings.router, loads=knowledge.loads, shards=shards, clock=clock
+    shards = ShardMap(view=state.view)
+    reporter = InFlightReporter(
+        router=settings.router, loads=state.loads, shards=shards, clock=clock
     )
     owners = OwnerExchange(
         directory=directory,
-        reporter=requests,
+        reporter=reporter,
         owner=Owner(
             router=settings.router,
-            view=knowledge.view,
+            view=state.view,
             placer=placer,
             shards=shards,
-            loads=knowledge.loads,
+            loads=state.loads,
             counts=ShardCounts(clock=clock),
             failure_domain=settings.failure_domain,
         ),
         clock=clock,
     )
-    owners_placer = OwnerPlacer(
-        view=knowledge.view,
+    owner_placer = OwnerPlacer(
+        view=state.view,
         placer=placer,
         shards=shards,
         directory=directory,
         exchange=owners,
-        reporter=requests,
+        reporter=reporter,
     )
     attempts = AttemptRunner(
-        placer=owners_placer,
-        residency=ResidencyPolicy(view=knowledge.view, regions=settings.regions),
-        loads=knowledge.loads,
-        health=knowledge.health,
+        placer=owner_placer,
+        residency=ResidencyPolicy(view=state.view, regions=settings.regions),
+        loads=state.loads,
+        health=state.health,
         reachability=reachability,
-        caches=knowledge.caches,
+        caches=state.caches,
         guard=CrashGuard(
-            crashes=knowledge.crashes,
-            termination_prober=endings,
+            crashes=state.crashes,
+            termination_prober=termination_prober,
             metrics=metrics,
             clock=clock,
         ),
-        repeats=knowledge.retry_budget,
+        repeats=state.retry_budget,
         waits=TimeoutEstimator(),
         metrics=metrics,
         clock=clock,
     )
     filters = (
-        RouteFilter(view=knowledge.view, generator=generator),
+        RouteFilter(view=state.view, generator=generator),
         DeadlineFilter(clock=clock),
-        ForwardFilter(attempts=attempts, client=client, repeats=knowledge.retry_budget),
+        ForwardFilter(attempts=attempts, client=client, repeats=state.retry_budget),
     )
     return Components(
-        state=knowledge,
+        state=state,
         app=ForwardApp(
             pipeline=compose(filters=filters),
             protocols=dependencies.protocols,
-            view=knowledge.view,
+            view=state.view,
             isolation=isolation,
             metrics=metrics,
             clock=clock,
         ),
-        placer=owners_placer,
+        placer=owner_placer,
         client=client,
         follower=follower,
         reachability=reachability,
-        termination_prober=endings,
+        termination_prober=termination_prober,
         isolation=isolation,
         exchange=PeerExchange(
-            view=knowledge.view,
-            loads=knowledge.loads,
-            repeats=knowledge.retry_budget,
-            shares=knowledge.totals,
-            caches=knowledge.caches,
-            crashes=knowledge.crashes,
+            view=state.view,
+            loads=state.loads,
+            repeats=state.retry_budget,
+            shares=state.totals,
+            caches=state.caches,
+            crashes=state.crashes,
             directory=directory,
-            plan=ReportPlan(directory=directory, shares=knowledge.totals),
-            peer_summary=word,
+            plan=ReportPlan(directory=directory, shares=state.totals),
+            peer_summary=peer_summary,
             follower=follower,
             owners=owners,
             generator=generator,
@@ -306,26 +305,26 @@
         metrics=MetricsPage(
             metrics=metrics,
             sources=MetricsSources(
-                view=knowledge.view,
-                loads=knowledge.loads,
-                repeats=knowledge.retry_budget,
-                crashes=knowledge.crashes,
+                view=state.view,
+                loads=state.loads,
+                repeats=state.retry_budget,
+                crashes=state.crashes,
                 directory=directory,
                 follower=follower,
             ),
         ),
         fetcher=Fetcher(
-            view=knowledge.view,
-            caches=knowledge.caches,
-            directory=knowledge.directory,
-            peer_summary=word,
+            view=state.view,
+            caches=state.caches,
+            directory=state.directory,
+            peer_summary=peer_summary,
             documents=dependencies.documents,
             cache_discovery=CacheDiscovery(
-                view=knowledge.view,
-                caches=knowledge.caches,
-                peer_summary=word,
+                view=state.view,
+                caches=state.caches,
+                peer_summary=peer_summary,
                 shards=shards,
-                quiet=knowledge.quiet,
+                quiet=state.quiet,
                 reader=dependencies.cache_reader,
                 failure_domain=settings.failure_domain,
                 clock=clock,
@@ -341,7 +340,7 @@
 def _build_shared_state(*, settings: ForwardSettings, clock: Clock) -> SharedState:
     caches = CacheMap(clock=clock)
     if settings.first_start:
-        # The whole fleet starts for the first time: no endpoint has cached anything.
+        # On the first start of the whole fleet no endpoint has cached anything.
         caches.mark_populated()
     directory = PeerDirectory(
         own=PeerInfo(
@@ -353,7 +352,7 @@
         seeds=settings.seeds,
         clock=clock,
     )
-    shares = TotalsTracker(failure_domain=settings.failure_domain, clock=clock)
+    totals = TotalsTracker(failure_domain=settings.failure_domain, clock=clock)
     view = FleetView(
         clock=clock,
         leaving=LeavingEndpoints(
@@ -362,8 +361,8 @@
     )
     return SharedState(
         view=view,
-        totals=shares,
-        loads=LoadTracker(shares=shares),
+        totals=totals,
+        loads=LoadTracker(shares=totals),
         health=HealthTracker(clock=clock),
         liveness=EndpointLiveness(clock=clock),
         quiet=EndpointBackoffs(clock=clock),
@@ -371,14 +370,14 @@
             router=settings.router,
             bounds=settings.cold_bounds,
             view=view,
-            router_count=lambda: max(directory.router_count, shares.router_count),
+            router_count=lambda: max(directory.router_count, totals.router_count),
             clock=clock,
         ),
         caches=caches,
         crashes=CrashTracker(clock=clock),
         retry_budget=RetryBudget(
             limits=settings.retry_limits,
-            totals=shares,
+            totals=totals,
             routers=lambda: directory.router_count,
             clock=clock,
         ),
--- a/dotterelpaddle/forwarding/cost.py
+++ b/dotterelpaddle/forwarding/cost.py
@@ -1,6 +1,6 @@
-"""What it costs to send a prompt to an endpoint, in prompt tokens that are read.
+"""The cost of sending a prompt to an endpoint, in prompt tokens.
 
-All costs are times; a token is the time that an engine takes to read it.
+Every cost is a duration; one token is the time in which an engine reads one token.
 """
 
 from __future__ import annotations
@@ -8,30 +8,31 @@
 from dataclasses import dataclass
 
 REQUEST_LOAD_TOKENS = 100
-"""Prompt tokens that are read again rather than add one request to a load.
+"""Cost of one more request in flight, in prompt tokens.
 
-Reading 100 tokens takes 1.2 ms; one request more slows each step of all others
-by 0.08 ms, over some hundred steps.
+Reading 100 tokens takes 1.2 ms. One more request slows each step of all other requests
+by 0.08 ms, over a few hundred steps.
 """
 
 FETCH_COST_RATIO = 0.16
-"""Cost of a token that is fetched from another endpoint's cache, relative to one
-that is read: at 35 GB/s a prompt of 10,000 tokens takes 5 ms to fetch and
-120 ms to read."""
+"""Cost of fetching a token from another endpoint's cache, relative to reading it. At
+35 GB/s an endpoint fetches a prompt of 10,000 tokens in 5 ms and reads it in
+120 ms."""
 
 MAX_FREE_QUEUE_TOKENS = 16_000
-"""Tokens that may wait to be read at an endpoint before a prompt is sent elsewhere for
-it: 0.1 to 0.2 s of reading, which leaves a stream most of its latency objective. To go
-round each queue moves the caches of twice as many prompts and serves nobody sooner."""
+"""Queued tokens at an endpoint that add nothing to the cost of a prompt. Reading them
+takes 0.1 to 0.2 s, which leaves a stream most of its latency objective. Avoiding
+shorter queues as well moves the caches of twice as many prompts and serves no request
+sooner."""
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class PromptWork:
-    """What an endpoint has to do before it can answer a prompt.
+    """The work of an endpoint before it can answer a prompt.
 
     Attributes:
-        missing_tokens: Shared tokens that it does not have.
-        fetchable_tokens: Those of them that another endpoint has.
+        missing_tokens: Shared tokens that the endpoint has not cached.
+        fetchable_tokens: Missing tokens that another endpoint has cached.
         unique_tokens: Tokens that no other prompt shares.
     """
 
@@ -41,7 +42,7 @@
 
     @property
     def equivalent_tokens(self) -> float:
-        """The time for it, in tokens read."""
+        """The duration of the work, in tokens that an engine reads in that time."""
         return (
             self.missing_tokens
             - self.fetchable_tokens
@@ -55,16 +56,20 @@
 ) -> float:
     """Return the cost of sending a prompt to an endpoint.
 
-    Load alone does not tell how long a prompt waits: twenty requests whose prompts are
-    cached let it begin within a step, five that read 6,000 tokens each let it wait for
-    0.2 s and more. That binds when endpoints that held many prompts are gone or cut
-    off, and the others read them anew.
+    The load alone doesn't determine how long a prompt waits. Behind twenty requests
+    with cached prompts it starts within one step; behind five requests that read 6,000
+    tokens each it waits for 0.2 s or more. The queue matters after endpoints that had
+    cached many prompts failed or became unreachable and the others read these anew.
 
     Args:
-        work: What the endpoint has to do for it.
-        queued_tokens: Tokens that it has to read for others first.
-        load: Requests that are in flight there.
-        failure_load: Requests of load that weigh as much as the failures there.
+        work: Work of the endpoint for this prompt.
+        queued_tokens: Tokens that the endpoint reads for other requests first.
+        load: Requests in flight at the endpoint.
+        failure_load: Requests in flight that weigh as much as its error rate.
     """
-    waits = max(0.0, queued_tokens - MAX_FREE_QUEUE_TOKENS)
-    return work.equivalent_tokens + waits + REQUEST_LOAD_TOKENS * (load + failure_load)
+    queue_cost = max(0.0, queued_tokens - MAX_FREE_QUEUE_TOKENS)
+    return (
+        work.equivalent_tokens
+        + queue_cost
+        + REQUEST_LOAD_TOKENS * (load + failure_load)
+    )
--- a/dotterelpaddle/forwarding/placement.py
+++ b/dotterelpaddle/forwarding/placement.py
@@ -1,4 +1,4 @@
-"""Chooses the endpoint of a request: where its prompt is cached, load permitting."""
+"""Selects an endpoint for a request by cached prompt tokens, load and error rate."""
 
 from __future__ import annotations
 
@@ -40,47 +40,47 @@
     from dotterelpaddle.ids import EndpointId, FailureDomain, ServiceName
 
 MIN_FETCH_TOKENS = 256
-"""Shared prompt tokens below which a fetch, which takes 5 ms to set up, does not
-beat reading them."""
+"""Shared prompt tokens below which computing them again is faster than a fetch from
+another endpoint's cache, which takes 5 ms to set up."""
 
 MAX_DOMAIN_SPREAD_TOKENS = 100
-"""Prompt tokens, one request of load, that a fetch into a failure domain without the
-prompt may cost more than one into another: the loss of a domain then costs less."""
+"""Extra cost, in prompt tokens (one request of load), accepted for a copy in a failure
+domain without the prompt, so that losing a domain loses fewer cached prompts."""
 
 AFFINITY_TOKENS = 150
-"""Prompt tokens by which the home of a part that nobody has is favoured, so that
-routers that see it at the same moment send it to the same endpoint."""
+"""Cost reduction, in prompt tokens, at the preferred endpoint of an uncached prompt,
+so that routers that receive the prompt concurrently send it to the same endpoint."""
 
 LARGE_FLEET_AFFINITY_TOKENS = 1000
-"""Instead of HOME_TOKENS with many routers, which hear of a prompt that was read
-half a second later than few do. After a start of all of them most prompts are so found
-again before engines were asked what they have."""
+"""Replaces AFFINITY_TOKENS in large fleets, where a router learns of a cached prompt
+half a second later. After a restart of all routers the preferred endpoint still has
+most prompts, before any engine has listed its cache."""
 
 NON_RETRYABLE_FAILURE_LOAD = 10.0
-"""Requests of load that weigh as much as certain failure, for a request that can't
-be repeated: a share of failures of a fifth weighs two requests."""
+"""Requests in flight that weigh as much as an error rate of 1, for a request that the
+router can't retry: an error rate of 0.2 weighs as much as two requests."""
 
 COLD_RETRY_AFTER_SECONDS = 0.5
-"""Seconds after which a caller may come back when only cold endpoints are left, which
-have got what they bear in a second."""
+"""Retry-after for callers when only cold endpoints are left and all of them have
+reached their limit for the current second."""
 
 RETRYABLE_FAILURE_LOAD = 3.0
-"""The same for a request that can be repeated at the cost of time."""
+"""Same for a request that the router can retry; a retry only costs time."""
 
 
 class ForwardPlacer:
-    """Chooses endpoints.
+    """Selects an endpoint for each request.
 
     Args:
-        view: The endpoints in force.
-        loads: Requests in flight.
-        health: Results of requests.
-        reachability: Where no connection can be made.
-        quiet: Endpoints that want nothing from this router for a while.
-        cold: What cold endpoints may get.
-        caches: Where parts of prompts are.
-        failure_domain: Where this router is.
-        generator: Breaks ties.
+        view: Current endpoints and configuration.
+        loads: Requests in flight per endpoint.
+        health: Results of recent requests per endpoint.
+        reachability: Endpoints that this router can't connect to.
+        quiet: Endpoints that asked this router to back off.
+        cold: Limits for endpoints that have just started.
+        caches: Prompt parts that each endpoint has cached.
+        failure_domain: Failure domain of this router.
+        generator: Random source for sampling and ties.
     """
 
     def __init__(
@@ -113,7 +113,7 @@
 
     @property
     def candidates(self) -> Candidates:
-        """Which endpoints may get a request at all."""
+        """The filter that decides which endpoints are eligible."""
         return self._candidates
 
     def choose(
@@ -129,26 +129,25 @@
 
         Args:
             service: The service.
-            request: What is to be sent.
-            retryable: Whether a failure there could be made good elsewhere.
-            excluded: Endpoints that were tried already.
-            decider: Whether owners decide for others meanwhile.
+            request: The request to send.
+            retryable: Whether another endpoint can serve the request after a failure.
+            excluded: Endpoints that earlier attempts have used.
+            decider: Who places requests on cold endpoints at the moment.
 
         Raises:
-            NoEndpoint: If there is none that takes work, or all that are left are
-                cold and have got what they bear.
+            NoEndpoint: If no endpoint, or only cold ones at their limit, are left.
         """
-        left = self._candidates.usable_or_fallback(
+        eligible = self._candidates.usable_or_fallback(
             service=service, request=request, excluded=excluded
         )
         loads = self._loads.loads()
-        risk = RETRYABLE_FAILURE_LOAD if retryable else NON_RETRYABLE_FAILURE_LOAD
-        mean = sum(loads[entry.endpoint] for entry in left) / len(left)
-        candidates = self._cold.with_capacity(entries=left, decider=decider)
+        weight = RETRYABLE_FAILURE_LOAD if retryable else NON_RETRYABLE_FAILURE_LOAD
+        mean = sum(loads[entry.endpoint] for entry in eligible) / len(eligible)
+        candidates = self._cold.with_capacity(entries=eligible, decider=decider)
         if not candidates:
             raise NoEndpoint(
-                f"the {len(left)} endpoints of service '{service}' that are left are "
-                "cold and have got what they bear",
+                f"service '{service}' has only cold endpoints left and all "
+                f"{len(eligible)} have reached their limit",
                 retry_after=COLD_RETRY_AFTER_SECONDS,
             )
         choice = None
@@ -158,11 +157,14 @@
                 candidates=candidates,
                 loads=loads,
                 mean_load=mean,
-                failure_load=risk,
+                failure_load=weight,
             )
         if choice is None:
             choice = self._least_loaded(
-                candidates=candidates, loads=loads, mean_load=mean, failure_load=risk
+                candidates=candidates,
+                loads=loads,
+                mean_load=mean,
+                failure_load=weight,
             )
         return self._record_cold_and_choice(choice=choice, request=request)
 
@@ -178,52 +180,52 @@
         ignore_bound: bool,
         cached_at: EndpointId | None = None,
     ) -> Choice | None:
-        """Choose for another router among the endpoints that this one counts.
+        """Choose for another router among the endpoints that this router owns.
 
         Args:
             service: The service.
             shard: Failure domain of the endpoints, None for all.
-            request: What is to be sent.
-            retryable: Whether a failure there could be made good elsewhere.
-            excluded: Endpoints that can't be chosen.
-            loads: Requests in flight, exact for these endpoints.
-            ignore_bound: Whether to choose one even if all are over their bound.
-            cached_at: Endpoint elsewhere that has the shared parts of the prompt.
+            request: The request to send.
+            retryable: Whether another endpoint can serve the request after a failure.
+            excluded: Endpoints to leave out.
+            loads: Requests in flight, exact for the endpoints of the shard.
+            ignore_bound: Whether to choose an endpoint even if all exceed their bound.
+            cached_at: Endpoint of another shard that has the shared prompt parts.
 
         Returns:
-            The choice; None if all are over their bound, or none of the shard is left.
+            The choice; None if no endpoint of the shard is eligible and within bound.
 
         Raises:
-            NoEndpoint: If there is none that takes work anywhere.
+            NoEndpoint: If no endpoint of any shard accepts the request.
         """
         candidates = self._candidates.usable_or_fallback(
             service=service, request=request, excluded=excluded
         )
         mean = sum(loads[entry.endpoint] for entry in candidates) / len(candidates)
-        counted = self._cold.with_capacity(
+        owned = self._cold.with_capacity(
             entries=shard_entries(entries=candidates, shard=shard),
             decider=Decider.OWNER,
         )
-        if not counted:
+        if not owned:
             return None
-        risk = RETRYABLE_FAILURE_LOAD if retryable else NON_RETRYABLE_FAILURE_LOAD
+        weight = RETRYABLE_FAILURE_LOAD if retryable else NON_RETRYABLE_FAILURE_LOAD
         choice = None
         if shared_parts(request=request):
             choice = self._least_cost(
                 request=request,
-                candidates=counted,
+                candidates=owned,
                 loads=loads,
                 mean_load=mean,
-                failure_load=risk,
+                failure_load=weight,
                 exact_loads=True,
                 cached_at=cached_at,
             )
         if choice is None:
             choice = self._least_loaded(
-                candidates=counted,
+                candidates=owned,
                 loads=loads,
                 mean_load=mean,
-                failure_load=risk,
+                failure_load=weight,
                 exact_loads=True,
             )
             bound = load_bound(entry=choice.entry, mean=mean)
@@ -234,7 +236,7 @@
     def cache_holder(
         self, *, service: ServiceName, request: HasPrompt
     ) -> EndpointId | None:
-        """The endpoint that has all shared parts of a prompt, None if none has."""
+        """Return the endpoint that has all shared parts of a prompt, or None."""
         candidates = self._view.ready(service=service)
         if not candidates or not shared_parts(request=request):
             return None
@@ -244,21 +246,21 @@
         return cached.holder.endpoint
 
     def _record_cold_and_choice(self, *, choice: Choice, request: HasPrompt) -> Choice:
-        """Count a request where it goes, if that is cold, and note its prompt there."""
+        """Count the request against a cold endpoint's limit and record the choice."""
         self._cold.record_request(entry=choice.entry)
         return self.record_choice(choice=choice, request=request)
 
     def record_choice(self, *, choice: Choice, request: HasPrompt) -> Choice:
-        """Note that a request goes there, before it is sent.
+        """Record the prompt at the chosen endpoint before the request is sent.
 
-        So those beside it, which share its prompt, go there too.
+        Concurrent requests with the same prompt then go to the same endpoint.
         """
         if not shared_parts(request=request):
             return choice
-        noted = self._caches.record_prompt(
+        new_parts = self._caches.record_prompt(
             endpoint=choice.entry.endpoint, request=request
         )
-        return replace(choice, new_parts=noted)
+        return replace(choice, new_parts=new_parts)
 
     def _error_rate(self, entry: EndpointEntry) -> float:
         return self._health.error_rate(endpoint=entry.endpoint)
@@ -274,70 +276,72 @@
         exact_loads: bool = False,
         cached_at: EndpointId | None = None,
     ) -> Choice | None:
-        """Choose where the least has to be read, among those within the bound.
+        """Choose the endpoint with the least cost among those within the load bound.
 
         Args:
-            request: What is to be sent.
-            candidates: Where it can go.
-            loads: Requests in flight.
-            mean_load: The mean of them.
-            failure_load: Requests of load that weigh as much as certain failure.
-            exact_loads: Whether nobody else sends there what these loads don't count yet.
-            cached_at: Endpoint elsewhere that has the shared parts of the prompt.
+            request: The request to send.
+            candidates: Eligible endpoints.
+            loads: Requests in flight per endpoint.
+            mean_load: Mean of the requests in flight.
+            failure_load: Requests in flight that weigh as much as an error rate of 1.
+            exact_loads: Whether `loads` already counts what other routers send.
+            cached_at: Endpoint of another shard that has the shared prompt parts.
         """
-        many = not exact_loads and self._loads.routers > LARGE_FLEET_ROUTERS
-        nearness = self._generator.uniform(MIN_BOUND_FRACTION, 1.0) if many else 1.0
+        large = not exact_loads and self._loads.routers > LARGE_FLEET_ROUTERS
+        fraction = self._generator.uniform(MIN_BOUND_FRACTION, 1.0) if large else 1.0
         within = [
             entry
             for entry in candidates
             if loads[entry.endpoint] + 1
-            <= load_bound(entry=entry, mean=mean_load, bound_fraction=nearness)
+            <= load_bound(entry=entry, mean=mean_load, bound_fraction=fraction)
         ]
         if not within:
             return None
-        home = preferred_endpoint(request=request, candidates=candidates, sharded=many)
+        preferred = preferred_endpoint(
+            request=request, candidates=candidates, sharded=large
+        )
         cached = self._cached_prompts.look_up(
             request=request, candidates=candidates, cached_at=cached_at
         )
-        if many:
-            within = self._sample(entries=within, cached=cached, preferred=home)
-        home_tokens = (
-            LARGE_FLEET_AFFINITY_TOKENS if many or exact_loads else AFFINITY_TOKENS
+        if large:
+            within = self._sample(entries=within, cached=cached, preferred=preferred)
+        affinity_tokens = (
+            LARGE_FLEET_AFFINITY_TOKENS if large or exact_loads else AFFINITY_TOKENS
         )
 
-        reading = self._loads.queued_tokens()
+        queued_tokens = self._loads.queued_tokens()
 
         def _cost(entry: EndpointEntry) -> float:
             cost = prompt_cost(
                 work=cached.work_at(endpoint=entry.endpoint),
-                queued_tokens=reading[entry.endpoint],
+                queued_tokens=queued_tokens[entry.endpoint],
                 load=loads[entry.endpoint],
                 failure_load=failure_load * self._error_rate(entry),
             )
-            return cost - home_tokens * (cached.is_uncached and entry is home)
+            return cost - affinity_tokens * (cached.is_uncached and entry is preferred)
 
         entry = min(within, key=_cost)
         if cached.missing_tokens[entry.endpoint] > cached.min_missing_tokens:
-            bar = _cost(entry) + MAX_DOMAIN_SPREAD_TOKENS
+            max_cost = _cost(entry) + MAX_DOMAIN_SPREAD_TOKENS
             spreading = [
                 each
                 for each in within
                 if each.failure_domain not in cached.holder_domains
-                and _cost(each) <= bar
+                and _cost(each) <= max_cost
             ]
             entry = min(spreading, key=_cost, default=entry)
-        lacks = cached.missing_tokens[entry.endpoint]
-        fetch = lacks - cached.min_missing_tokens >= MIN_FETCH_TOKENS
+        missing_tokens = cached.missing_tokens[entry.endpoint]
+        fetch = missing_tokens - cached.min_missing_tokens >= MIN_FETCH_TOKENS
         return Choice(
             entry=entry,
-            reason=ChoiceReason.LEAST_COST if lacks else ChoiceReason.CACHED,
+            reason=ChoiceReason.LEAST_COST if missing_tokens else ChoiceReason.CACHED,
             load=loads[entry.endpoint],
             mean_load=mean_load,
             candidate_count=len(candidates),
             part_tag=part_tag(
                 model=request.model, part=shared_parts(request=request)[-1]
             ),
-            missing_tokens=lacks,
+            missing_tokens=missing_tokens,
             work_tokens=round(
                 cached.work_at(endpoint=entry.endpoint).equivalent_tokens
             ),
@@ -351,8 +355,8 @@
         cached: CachedPrompt,
         preferred: EndpointEntry,
     ) -> list[EndpointEntry]:
-        """Choose the endpoints to compare: those with a cache, and some others."""
-        holding = [
+        """Return the endpoints to compare: cache holders and a random sample."""
+        holders = [
             entry
             for entry in entries
             if (
@@ -362,7 +366,7 @@
             )
         ]
         others = self._generator.sample(entries, min(SAMPLE_SIZE, len(entries)))
-        return holding + [entry for entry in others if entry not in holding]
+        return holders + [entry for entry in others if entry not in holders]
 
     def _least_loaded(
         self,
--- a/dotterelpaddle/forwarding/request_totals.py
+++ b/dotterelpaddle/forwarding/request_totals.py
@@ -1,9 +1,9 @@
-"""What other routers told of their requests, without counting any of them twice.
+"""Combines the request totals that other routers report, each router counted once.
 
-In a small fleet each router tells each other one of itself. In a large one a router
-tells a few of its failure domain, which aggregate for the others: for its members all
-that is in flight elsewhere, for other failure domains all that is in flight in its
-own one.
+In a small fleet every router reports its own totals to all others. In a large fleet a
+router reports to a few aggregators of its failure domain. An aggregator sends the
+members of its domain the totals of all other routers, and sends other failure domains
+the totals of its own.
 """
 
 from __future__ import annotations
@@ -20,15 +20,15 @@
     from dotterelpaddle.ids import EndpointId, FailureDomain, RouterId, ServiceName
 
 MAX_TOTALS_AGE_SECONDS = 1.5
-"""Seconds that counts of requests in flight are believed without news.
+"""Seconds after which reported counts of requests in flight expire.
 
-Routers tell them a few times a second; a router silent for longer has ended or
+Routers report several times a second. A router that is silent for longer has stopped or
 is cut off, and its requests end soon.
 """
 
 
 class TotalsScope(Enum):
-    """Whose requests a share counts."""
+    """Routers whose requests the totals count."""
 
     ROUTER = "router"
     DOMAIN = "domain"
@@ -36,7 +36,7 @@
 
 
 class ReplyRequest(Enum):
-    """What a report asks of its recipient."""
+    """Reply that the sender of a report requests."""
 
     NOTHING = "nothing"
     ANSWER = "answer"
@@ -45,11 +45,11 @@
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class RetryCounts:
-    """What was sent to a service in the last window.
+    """Requests and retries for a service in the last window.
 
     Attributes:
-        requests: Requests that came in for it.
-        retries: Sends beyond the first of each.
+        requests: Requests received for the service.
+        retries: Attempts beyond the first one of each request.
     """
 
     requests: int
@@ -58,15 +58,15 @@
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class RequestTotals:
-    """Requests of some routers.
+    """Totals of the requests of one or more routers.
 
     Attributes:
-        scope: Whose: the sender's, those of its failure domain, or all but the
-            recipient's.
-        routers: How many routers that are.
+        scope: Routers that the totals cover: the sender, its failure domain, or all
+            but the recipient.
+        routers: Number of these routers.
         loads: Their requests in flight, by endpoint.
-        queued_tokens: Tokens that these wait to have read, by endpoint.
-        retries: What they sent of late, by service.
+        queued_tokens: Prompt tokens that these requests still wait for, by endpoint.
+        retries: Their requests and retries in the last window, by service.
     """
 
     scope: TotalsScope = TotalsScope.ROUTER
@@ -84,10 +84,10 @@
 
 
 class TotalsTracker:
-    """The latest shares, and which of them count each other router once.
+    """Keeps the latest totals and selects those that count each router once.
 
     Args:
-        failure_domain: Where this router is.
+        failure_domain: Failure domain of this router.
         clock: Monotonic clock.
     """
 
@@ -103,38 +103,38 @@
 
     @property
     def is_aggregator(self) -> bool:
-        """Whether this router adds up what others tell of themselves.
+        """Whether this router adds up the totals that single routers report.
 
-        Otherwise it relies on those that do.
+        Otherwise it relies on the sums of an aggregator.
         """
         return self._is_aggregator
 
     @is_aggregator.setter
-    def is_aggregator(self, aggregates: bool) -> None:
-        self._is_aggregator = aggregates
+    def is_aggregator(self, is_aggregator: bool) -> None:
+        self._is_aggregator = is_aggregator
 
     @property
     def has_aggregators(self) -> bool:
-        """Whether the fleet is so large that a few routers aggregate for the others."""
+        """Whether the fleet is large enough to use aggregators."""
         return self._has_aggregators
 
     @has_aggregators.setter
-    def has_aggregators(self, aggregated: bool) -> None:
-        self._has_aggregators = aggregated
+    def has_aggregators(self, has_aggregators: bool) -> None:
+        self._has_aggregators = has_aggregators
 
     @property
     def router_count(self) -> int:
-        """Routers whose requests are counted, this one included."""
-        return 1 + sum(share.routers for share in self.current())
+        """Number of routers whose requests are counted, including this one."""
+        return 1 + sum(each.routers for each in self.current())
 
     @property
     def aggregation_requesters(self) -> frozenset[RouterId]:
-        """Routers that ask this one to aggregate for them."""
+        """Routers that request sums of totals from this router."""
         oldest = self._clock() - MAX_TOTALS_AGE_SECONDS
         return frozenset(
             router
-            for router, asked_at in self._requested_at.items()
-            if asked_at >= oldest
+            for router, requested_at in self._requested_at.items()
+            if requested_at >= oldest
         )
 
     def receive(
@@ -145,23 +145,26 @@
         totals: RequestTotals,
         reply_request: ReplyRequest = ReplyRequest.NOTHING,
     ) -> None:
-        """Take in what a router told.
+        """Record the totals that a router reported.
 
         Args:
-            router: Who told it.
-            failure_domain: Where that is.
-            totals: What it told.
-            reply_request: What it asks in return; sums of all others, say.
+            router: Sender of the report.
+            failure_domain: Failure domain of the sender.
+            totals: The reported totals.
+            reply_request: Reply that the sender requests, such as the sums of all
+                other routers.
         """
         now = self._clock()
-        told = _ReceivedTotals(totals=totals, domain=failure_domain, received_at=now)
+        received = _ReceivedTotals(
+            totals=totals, domain=failure_domain, received_at=now
+        )
         match totals.scope:
             case TotalsScope.ROUTER:
-                self._by_router[router] = told
+                self._by_router[router] = received
             case TotalsScope.DOMAIN:
-                self._by_domain[failure_domain] = told
+                self._by_domain[failure_domain] = received
             case TotalsScope.OTHERS:
-                self._others = told
+                self._others = received
         match reply_request:
             case ReplyRequest.AGGREGATE:
                 self._requested_at[router] = now
@@ -171,57 +174,59 @@
     def current(
         self, *, max_age: float = MAX_TOTALS_AGE_SECONDS
     ) -> tuple[RequestTotals, ...]:
-        """Shares that together count each other router once, as far as known."""
+        """Return totals that together count each other known router once."""
         others = self._others
         if others is not None and not self._is_aggregator and self._is_fresh(others):
             return (others.totals,)
-        near = [told.totals for told in self._same_domain(max_age=max_age).values()]
-        return (*near, *self._other_domains(max_age=max_age))
+        same_domain = [
+            received.totals for received in self._same_domain(max_age=max_age).values()
+        ]
+        return (*same_domain, *self._other_domains(max_age=max_age))
 
     def domain_totals(self, *, own: RequestTotals) -> RequestTotals:
-        """Sum up the own failure domain for other ones."""
+        """Return the sum for this failure domain, to send to other domains."""
         return sum_totals(
             scope=TotalsScope.DOMAIN, totals=[own, *self._same_domain_totals()]
         )
 
     def totals_except(self, *, own: RequestTotals, router: RouterId) -> RequestTotals:
-        """Sum up for a router of the own failure domain all that others told."""
-        near = self._same_domain(max_age=MAX_TOTALS_AGE_SECONDS)
-        near.pop(router, None)
-        shares = [own, *(told.totals for told in near.values())]
-        shares += self._other_domains(max_age=MAX_TOTALS_AGE_SECONDS)
-        return sum_totals(scope=TotalsScope.OTHERS, totals=shares)
+        """Return the sum of all routers but one of this failure domain."""
+        same_domain = self._same_domain(max_age=MAX_TOTALS_AGE_SECONDS)
+        same_domain.pop(router, None)
+        all_totals = [own, *(received.totals for received in same_domain.values())]
+        all_totals += self._other_domains(max_age=MAX_TOTALS_AGE_SECONDS)
+        return sum_totals(scope=TotalsScope.OTHERS, totals=all_totals)
 
     def _same_domain_totals(self) -> list[RequestTotals]:
         return [
-            told.totals
-            for told in self._same_domain(max_age=MAX_TOTALS_AGE_SECONDS).values()
+            received.totals
+            for received in self._same_domain(max_age=MAX_TOTALS_AGE_SECONDS).values()
         ]
 
     def _same_domain(self, *, max_age: float) -> dict[RouterId, _ReceivedTotals]:
-        """What routers of the own failure domain told of themselves."""
+        """Return the fresh totals of routers in this failure domain."""
         return {
-            router: told
-            for router, told in self._by_router.items()
-            if told.domain == self._failure_domain
-            and self._is_fresh(told, max_age=max_age)
+            router: received
+            for router, received in self._by_router.items()
+            if received.domain == self._failure_domain
+            and self._is_fresh(received, max_age=max_age)
         }
 
     def _other_domains(self, *, max_age: float) -> list[RequestTotals]:
-        """What was told of other failure domains: sums, where there are any."""
-        aggregated = {
-            domain: told.totals
-            for domain, told in self._by_domain.items()
-            if domain != self._failure_domain and self._is_fresh(told)
+        """Return the totals of other failure domains, preferring sums of a domain."""
+        by_domain = {
+            domain: received.totals
+            for domain, received in self._by_domain.items()
+            if domain != self._failure_domain and self._is_fresh(received)
         }
-        single = [
-            told.totals
-            for told in self._by_router.values()
-            if told.domain != self._failure_domain
-            and told.domain not in aggregated
-            and self._is_fresh(told, max_age=max_age)
+        by_router = [
+            received.totals
+            for received in self._by_router.values()
+            if received.domain != self._failure_domain
+            and received.domain not in by_domain
+            and self._is_fresh(received, max_age=max_age)
         ]
-        return [*aggregated.values(), *single]
+        return [*by_domain.values(), *by_router]
 
     def _is_fresh(
         self, received: _ReceivedTotals, *, max_age: float = MAX_TOTALS_AGE_SECONDS
@@ -230,26 +235,26 @@
 
 
 def sum_totals(*, scope: TotalsScope, totals: Iterable[RequestTotals]) -> RequestTotals:
-    """Add shares up."""
+    """Add up totals."""
     routers = 0
     loads: Counter[EndpointId] = Counter()
-    reading: Counter[EndpointId] = Counter()
+    queued_tokens: Counter[EndpointId] = Counter()
     requests: Counter[ServiceName] = Counter()
-    repeats: Counter[ServiceName] = Counter()
-    for share in totals:
-        routers += share.routers
-        loads.update(share.loads)
-        reading.update(share.queued_tokens)
-        for service, counts in share.retries.items():
+    retries: Counter[ServiceName] = Counter()
+    for each in totals:
+        routers += each.routers
+        loads.update(each.loads)
+        queued_tokens.update(each.queued_tokens)
+        for service, counts in each.retries.items():
             requests[service] += counts.requests
-            repeats[service] += counts.retries
+            retries[service] += counts.retries
     return RequestTotals(
         scope=scope,
         routers=routers,
         loads=loads,
-        queued_tokens=reading,
+        queued_tokens=queued_tokens,
         retries={
-            service: RetryCounts(requests=count, retries=repeats[service])
+            service: RetryCounts(requests=count, retries=retries[service])
             for service, count in requests.items()
         },
     )
