--- a/dotterelpaddle/forwarding/crash_causes.py
+++ b/dotterelpaddle/forwarding/crash_causes.py
@@ -1,4 +1,4 @@
-"""Finds the requests that end endpoints among those that were there as well."""
+"""Finds the requests that cause crashes among all that were running during them."""
 
 from __future__ import annotations
 
@@ -13,11 +13,12 @@
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class Suspicion:
-    """What speaks for a request as the cause of endpoints' ends.
+    """Evidence that a request causes crashes.
 
     Attributes:
-        crashed_endpoints: The endpoints that ended under it.
-        begun_count: At how many of them its answer had begun, and had brought nothing yet.
+        crashed_endpoints: Endpoints that crashed while they ran the request.
+        begun_count: Number of these endpoints where the answer had begun, without any
+            output yet.
     """
 
     crashed_endpoints: frozenset[EndpointId]
@@ -25,23 +26,23 @@
 
     @property
     def rank(self) -> tuple[int, int]:
-        """How much that is, to compare it with others."""
+        """Sort key; requests with more evidence have a greater one."""
         return len(self.crashed_endpoints), self.begun_count
 
 
 def find_causes(
     *, suspicions: Mapping[Fingerprint, Suspicion], min_crashes: int
 ) -> frozenset[Fingerprint]:
-    """Return the requests that end endpoints.
+    """Return the requests that cause crashes.
 
-    An end breaks all that ran there, and what is sent on together breaks together
-    again. So the request under which most endpoints ended is taken for the cause of all
-    these ends, and the others are judged by those ends that no cause explains yet. All
-    routers that know the same ends find the same causes.
+    A crash breaks all requests at an endpoint, and requests that are retried together
+    break together again. The request with the most crashes therefore counts as the
+    cause of all these crashes. Other requests count only with crashes that no cause
+    explains yet. All routers with the same observations find the same causes.
 
     Args:
-        suspicions: What speaks for each request.
-        min_crashes: Unexplained ends that make a request a cause.
+        suspicions: Evidence against each request.
+        min_crashes: Unexplained crashes that make a request a cause.
     """
     explained: set[EndpointId] = set()
     causes = set()
--- a/dotterelpaddle/forwarding/crash_guard.py
+++ b/dotterelpaddle/forwarding/crash_guard.py
@@ -1,4 +1,4 @@
-"""Keeps requests that crash endpoints from going on to the next ones."""
+"""Stops requests that crash endpoints from reaching further endpoints."""
 
 from __future__ import annotations
 
@@ -25,17 +25,18 @@
 log = get_logger(name=__name__)
 
 HARMLESS_OUTPUT_SECONDS = 1.0
-"""Seconds of output after which a run is not what ended its endpoint: a request that
-crashes endpoints does so as it begins to run."""
+"""Seconds of output after which an attempt isn't the cause of a crash: a request that
+crashes endpoints does so when it starts to run."""
 
 
 class CrashGuard:
-    """Checks requests before they are sent, and watches what becomes of endpoints.
+    """Refuses blocked requests, and tracks the outcome of attempts.
 
     Args:
-        crashes: Under which requests endpoints ended.
-        termination_prober: Finds out whether endpoints that broke off have ended.
-        metrics: Counts what was blocked.
+        crashes: Requests that were running when endpoints crashed.
+        termination_prober: Determines whether an endpoint that broke a connection
+            has crashed.
+        metrics: Counts blocked requests.
         clock: Monotonic clock.
     """
 
@@ -53,10 +54,10 @@
         self._clock = clock
 
     def check(self, *, exchange: ForwardExchange) -> None:
-        """Let a request pass unless endpoints end under it.
+        """Refuse a request that causes crashes.
 
         Raises:
-            RequestBlocked: If it may not be sent to an endpoint now.
+            RequestBlocked: If the request may not go to an endpoint now.
         """
         assert exchange.fingerprint is not None
         try:
@@ -82,7 +83,7 @@
         entry: EndpointEntry,
         progress: AttemptProgress,
     ) -> Iterator[None]:
-        """Watch one attempt at a request while the context lasts."""
+        """Record the outcome of the attempt that runs inside the context."""
         fingerprint = exchange.fingerprint
         assert fingerprint is not None
         crashes, endpoint = self._crashes, entry.endpoint
@@ -94,15 +95,15 @@
             crashes.record_served(fingerprint=fingerprint)
             raise
         except AnswerBroken:
-            output = relay.last_event_id != last_event
-            if self._is_harmless(progress=progress, output=output):
+            had_output = relay.last_event_id != last_event
+            if self._is_harmless(progress=progress, had_output=had_output):
                 crashes.end_attempt(fingerprint=fingerprint, endpoint=endpoint)
             else:
                 self._termination_prober.report_broken_connection(
                     entry=entry,
                     fingerprint=fingerprint,
                     answer_begun=progress.attempt.state is not AttemptState.SENT
-                    and not output,
+                    and not had_output,
                 )
             raise
         except BaseException:
@@ -110,11 +111,11 @@
             raise
         crashes.record_served(fingerprint=fingerprint)
 
-    def _is_harmless(self, *, progress: AttemptProgress, output: bool) -> bool:
-        """Tell whether a run had brought output for so long that it did no harm."""
+    def _is_harmless(self, *, progress: AttemptProgress, had_output: bool) -> bool:
+        """Return whether the attempt can't have caused a crash of its endpoint."""
         if progress.attempt.proves_not_run:
             return True
-        if not output or progress.first_byte_seconds is None:
+        if not had_output or progress.first_byte_seconds is None:
             return False
-        begun_at = progress.started_at + progress.first_byte_seconds
-        return self._clock() - begun_at >= HARMLESS_OUTPUT_SECONDS
+        answer_started_at = progress.started_at + progress.first_byte_seconds
+        return self._clock() - answer_started_at >= HARMLESS_OUTPUT_SECONDS
--- a/dotterelpaddle/forwarding/crashes.py
+++ b/dotterelpaddle/forwarding/crashes.py
@@ -1,9 +1,8 @@
-"""Requests under which endpoints ended, as all routers know them.
+"""Tracks requests that were running when endpoints crashed, and blocks the causes.
 
-A request may crash each endpoint that begins to run it. Its caller sends it again, with
-another id, to any router; so what is known of it is kept by its fingerprint and told to
-all routers. Most requests under which an endpoint ended only happened to be there: they
-are served elsewhere, and a whole answer ends the suspicion everywhere.
+A request may crash every endpoint that runs it. Its caller retries with a new id at any
+router, so routers track it by its fingerprint and report to each other. Most requests
+that ran during a crash didn't cause it; a complete answer clears them at all routers.
 """
 
 from __future__ import annotations
@@ -26,41 +25,39 @@
 log = get_logger(name=__name__)
 
 MIN_CRASHES_TO_BLOCK = 3
-"""Endpoints that may end under one request before it is blocked. One or two end by
-chance under a request that is sent on during a series of crashes; three seldom do."""
+"""Crashes after which a request is blocked. During a series of unrelated crashes a
+retried request is often present at one or two of them by chance, rarely at three."""
 
 MIN_BLOCK_SECONDS = 60.0
-"""Seconds for which a request is blocked first; then it is tried once more."""
+"""Seconds of the first block of a request, after which one attempt may run."""
 
 MAX_BLOCK_SECONDS = 600.0
-"""Seconds for which it is blocked at most, each time twice as long as before."""
+"""Maximum seconds of a block; each block is twice as long as the one before."""
 
 SUSPICION_SECONDS = 60.0
-"""Seconds after the last end under a request after which none counts any more; a block
-comes on top."""
+"""Seconds from the last crash of a request until its crashes expire, plus any block."""
 
 MAX_ATTEMPT_SECONDS = 3.0
-"""Seconds for which a try counts as under way; a stream begins within them or waits."""
+"""Seconds an attempt counts as in flight; by then a stream has begun or is queued."""
 
-ATTEMPT_RETRY_AFTER_SECONDS = 1.0
-"""Seconds after which a caller may come back while its request is tried elsewhere."""
+MIN_WAIT_SECONDS = 1.0
+"""Retry-after for a caller whose request has an attempt in flight elsewhere."""
 
 MAX_SUSPECTS = 256
-"""Requests that are remembered, 200 KB: some ends of endpoints with all they ran."""
+"""Tracked requests, 200 KB: all requests of several crashed endpoints."""
 
 REPORT_INTERVAL_SECONDS = 2.0
-"""Seconds until the ends under a request are told again if there are several, to
-routers that were cut off or have just started."""
+"""Seconds between reports of several crashes, for routers cut off or just started."""
 
-SINGLE_CRASH_REPORT_INTERVAL_SECONDS = 10.0
-"""The same of a single end; most of these are of requests that nobody sends again."""
+ONE_CRASH_INTERVAL_SECONDS = 10.0
+"""Same for a request with one crash; callers repeat few of these requests."""
 
 MAX_NOTES_PER_REPORT = 12
-"""Notes in one report, 0.7 KB."""
+"""Maximum number of notes in one report, 0.7 KB."""
 
 
 class NoteKind(Enum):
-    """What a note tells of a request."""
+    """Kind of event that a note reports."""
 
     ENDED = "ended"
     TRIED = "tried"
@@ -69,15 +66,14 @@
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class CrashNote:
-    """One thing that a router has seen of a request, as it tells others.
+    """An event of a request, as one router reports it to others.
 
     Attributes:
-        kind: What.
-        fingerprint: The request.
-        endpoint: The start of an endpoint that ended under it, or is trying it; empty
-            if it was served.
-        age: Seconds since then.
-        begun: Whether its answer had begun there, and had brought nothing yet.
+        kind: Kind of event.
+        fingerprint: Fingerprint of the request.
+        endpoint: Incarnation that crashed or runs an attempt; None if served.
+        age: Seconds since the event.
+        begun: Whether the answer had begun at the endpoint, without any output yet.
     """
 
     kind: NoteKind
@@ -88,8 +84,8 @@
 
 
 @dataclass(kw_only=True, slots=True)
-class _Observation:
-    """When something was seen, and whether it is still to be told."""
+class _Event:
+    """An event of a request, and the progress of reporting it."""
 
     at: float
     begun: bool = False
@@ -98,40 +94,43 @@
 
 @dataclass(kw_only=True, slots=True)
 class _Suspect:
-    """What is known of one request."""
+    """The crashes and attempts of one request."""
 
-    crashes: dict[EndpointId, _Observation] = field(default_factory=dict)
-    attempts: dict[EndpointId, _Observation] = field(default_factory=dict)
-    served: _Observation | None = None
+    crashes: dict[EndpointId, _Event] = field(default_factory=dict)
+    attempts: dict[EndpointId, _Event] = field(default_factory=dict)
+    served: _Event | None = None
 
     @property
-    def last_crash_at(self) -> float:
-        """When the last endpoint ended under it."""
-        return max((seen.at for seen in self.crashes.values()), default=float("-inf"))
+    def crashed_at(self) -> float:
+        """Time of the last crash."""
+        return max(
+            (event.at for event in self.crashes.values()),
+            default=float("-inf"),
+        )
 
     @property
     def last_seen_at(self) -> float:
-        """When anything was last seen of it."""
+        """Time of the last crash or complete answer."""
         served = self.served.at if self.served is not None else float("-inf")
-        return max(self.last_crash_at, served)
+        return max(self.crashed_at, served)
 
     @property
     def suspicion(self) -> Suspicion:
-        """What speaks for it as the cause of the ends."""
+        """Evidence that the request caused the crashes."""
         return Suspicion(
             crashed_endpoints=frozenset(self.crashes),
-            begun_count=sum(seen.begun for seen in self.crashes.values()),
+            begun_count=sum(event.begun for event in self.crashes.values()),
         )
 
     def forget_before(self, *, at: float) -> None:
-        """Forget what was seen until a moment."""
-        for seen in (self.crashes, self.attempts):
-            for endpoint in [each for each in seen if seen[each].at <= at]:
-                del seen[endpoint]
+        """Remove crashes and attempts up to a time."""
+        for events in (self.crashes, self.attempts):
+            for endpoint in [each for each in events if events[each].at <= at]:
+                del events[endpoint]
 
 
 class CrashTracker:
-    """Remembers under which requests endpoints ended, and blocks the cause of it.
+    """Tracks the requests that were running during crashes, and blocks the causes.
 
     Args:
         clock: Monotonic clock.
@@ -144,52 +143,42 @@
 
     @property
     def suspect_count(self) -> int:
-        """Requests under which an endpoint ended of late."""
+        """Number of requests that were running during a recent crash."""
         return sum(bool(suspect.crashes) for suspect in self._suspects.values())
 
     @property
     def blocked_count(self) -> int:
-        """Requests that are blocked, or would be tried once more."""
+        """Number of requests that are blocked or may run one more attempt."""
         return len(self._causes())
 
     def check(self, *, fingerprint: Fingerprint) -> None:
-        """Let a request pass unless endpoints end under it.
+        """Refuse a request that causes crashes.
 
         Raises:
-            RequestBlocked: If it may not be sent to an endpoint now.
+            RequestBlocked: If the request may not go to an endpoint now.
         """
         suspect = self._suspects.get(fingerprint)
         if suspect is None or not suspect.crashes:
             return
         now = self._clock()
-        tries = self._attempts_in_flight(suspect)
+        live = self._attempts_in_flight(suspect)
         if fingerprint in self._causes():
-            left = (
-                suspect.last_crash_at
-                + _block_seconds(crash_count=len(suspect.crashes))
-                - now
-            )
-            if left > 0.0 or tries:
-                raise self._blocked_error(
-                    suspect=suspect,
-                    attempts=tries,
-                    wait=max(left, ATTEMPT_RETRY_AFTER_SECONDS),
+            left = suspect.crashed_at + _block_time(crashes=len(suspect.crashes)) - now
+            if left > 0.0 or live:
+                raise self._blocked(
+                    suspect=suspect, attempts=live, wait=max(left, MIN_WAIT_SECONDS)
                 )
-        elif (
-            len(suspect.crashes) < MIN_CRASHES_TO_BLOCK <= len(suspect.crashes) + tries
-        ):
-            raise self._blocked_error(
-                suspect=suspect, attempts=tries, wait=ATTEMPT_RETRY_AFTER_SECONDS
-            )
+        elif len(suspect.crashes) < MIN_CRASHES_TO_BLOCK <= len(suspect.crashes) + live:
+            raise self._blocked(suspect=suspect, attempts=live, wait=MIN_WAIT_SECONDS)
 
     def begin_attempt(self, *, fingerprint: Fingerprint, endpoint: EndpointId) -> None:
-        """Note that a suspect is sent to an endpoint, for the other routers."""
+        """Record an attempt of a suspect, which other routers take into account."""
         suspect = self._suspects.get(fingerprint)
         if suspect is not None and suspect.crashes:
-            suspect.attempts[endpoint] = _Observation(at=self._clock())
+            suspect.attempts[endpoint] = _Event(at=self._clock())
 
     def end_attempt(self, *, fingerprint: Fingerprint, endpoint: EndpointId) -> None:
-        """Note that a try came to an end, and its endpoint did not."""
+        """Record that an attempt ended without a crash."""
         suspect = self._suspects.get(fingerprint)
         if suspect is not None:
             suspect.attempts.pop(endpoint, None)
@@ -197,99 +186,94 @@
     def record_crash(
         self, *, fingerprint: Fingerprint, endpoint: EndpointId, at: float, begun: bool
     ) -> None:
-        """Note that an endpoint ended under a request."""
-        self._apply_crash(fingerprint, endpoint, _Observation(at=at, begun=begun))
+        """Record that an endpoint crashed while it ran a request."""
+        self._apply_crash(fingerprint, endpoint, _Event(at=at, begun=begun))
 
     def record_served(self, *, fingerprint: Fingerprint) -> None:
-        """Note that an endpoint answered a request and did not end."""
+        """Record that an endpoint answered a request without a crash."""
         suspect = self._suspects.get(fingerprint)
         if suspect is not None and suspect.crashes:
-            self._clear(fingerprint, suspect, _Observation(at=self._clock()))
+            self._clear(fingerprint, suspect, _Event(at=self._clock()))
 
     def receive(self, *, notes: Iterable[CrashNote], forward: bool) -> None:
-        """Take in what another router has seen.
+        """Record the events that another router reported.
 
         Args:
-            notes: What it told.
-            forward: Whether others hear of it through this router.
+            notes: The reported events.
+            forward: Whether this router forwards them to other routers.
         """
         now = self._clock()
         for note in notes:
-            telling = (
+            state = (
                 ReportState()
                 if forward
                 else ReportState(reports_left=0, reported_at=now)
             )
-            seen = _Observation(
-                at=now - note.age, begun=note.begun, report_state=telling
-            )
+            event = _Event(at=now - note.age, begun=note.begun, report_state=state)
             match note.kind:
                 case NoteKind.ENDED if note.endpoint:
-                    self._apply_crash(note.fingerprint, note.endpoint, seen)
+                    self._apply_crash(note.fingerprint, note.endpoint, event)
                 case NoteKind.TRIED if note.endpoint:
-                    self._apply_attempt(note.fingerprint, note.endpoint, seen)
+                    self._apply_attempt(note.fingerprint, note.endpoint, event)
                 case NoteKind.SERVED:
                     suspect = self._suspects.get(note.fingerprint)
                     if suspect is not None:
-                        self._clear(note.fingerprint, suspect, seen)
+                        self._clear(note.fingerprint, suspect, event)
 
     def take_due_notes(self) -> list[CrashNote]:
-        """What to tell in the next report, what matters most first."""
+        """Return the notes for the next report, requests with most crashes first."""
         now = self._clock()
         self._expire(now=now)
-        due = [each for each in self._observations() if _is_due(each, now=now)]
+        due = [each for each in self._events() if _is_due(each, now=now)]
         due.sort(
-            key=lambda each: (
-                each.crash_count,
-                each.observation.report_state.reports_left,
-            ),
+            key=lambda each: (each.crash_count, each.event.report_state.reports_left),
             reverse=True,
         )
-        told = due[:MAX_NOTES_PER_REPORT]
-        for each in told:
-            each.observation.report_state.mark_reported(now=now)
-        return [each.note(now=now) for each in told]
+        reported = due[:MAX_NOTES_PER_REPORT]
+        for each in reported:
+            each.event.report_state.mark_reported(now=now)
+        return [each.note(now=now) for each in reported]
 
     def _apply_crash(
-        self, fingerprint: Fingerprint, endpoint: EndpointId, seen: _Observation
+        self, fingerprint: Fingerprint, endpoint: EndpointId, event: _Event
     ) -> None:
         suspect = self._suspects.setdefault(fingerprint, _Suspect())
-        if suspect.served is not None and suspect.served.at >= seen.at:
-            # Whoever still tells of it has not heard of the answer.
+        if suspect.served is not None and suspect.served.at >= event.at:
+            # The sender of the report hasn't received the note about the answer.
             suspect.served.report_state.report_again()
             return
         if endpoint in suspect.crashes:
             return
-        suspect.crashes[endpoint] = seen
+        suspect.crashes[endpoint] = event
         suspect.attempts.pop(endpoint, None)
         self._cached_causes = None
         log.info(
             "request_suspected",
             fingerprint=fingerprint,
             endpoint=endpoint,
-            seconds_ago=round(self._clock() - seen.at, 3),
-            begun=seen.begun,
+            seconds_ago=round(self._clock() - event.at, 3),
+            begun=event.begun,
             ended=len(suspect.crashes),
         )
         self._evict()
 
     def _apply_attempt(
-        self, fingerprint: Fingerprint, endpoint: EndpointId, seen: _Observation
+        self, fingerprint: Fingerprint, endpoint: EndpointId, event: _Event
     ) -> None:
         suspect = self._suspects.setdefault(fingerprint, _Suspect())
-        is_old = suspect.served is not None and suspect.served.at >= seen.at
-        if not is_old and endpoint not in suspect.crashes:
-            suspect.attempts.setdefault(endpoint, seen)
+        is_outdated = suspect.served is not None and suspect.served.at >= event.at
+        if not is_outdated and endpoint not in suspect.crashes:
+            suspect.attempts.setdefault(endpoint, event)
         self._evict()
 
     def _clear(
-        self, fingerprint: Fingerprint, suspect: _Suspect, seen: _Observation
+        self, fingerprint: Fingerprint, suspect: _Suspect, event: _Event
     ) -> None:
-        if suspect.served is not None and suspect.served.at >= seen.at:
+        if suspect.served is not None and suspect.served.at >= event.at:
             return
         was_blocked = fingerprint in self._causes()
-        suspect.served = seen
-        suspect.forget_before(at=seen.at)
+        suspect.served = event
+        suspect.forget_before(at=event.at)
         self._cached_causes = None
         if was_blocked:
             log.info("request_block_ended", fingerprint=fingerprint, cause="served")
@@ -297,12 +281,12 @@
     def _attempts_in_flight(self, suspect: _Suspect) -> int:
         oldest = self._clock() - MAX_ATTEMPT_SECONDS
         return sum(
-            seen.at > oldest and endpoint not in suspect.crashes
-            for endpoint, seen in suspect.attempts.items()
+            event.at > oldest and endpoint not in suspect.crashes
+            for endpoint, event in suspect.attempts.items()
         )
 
     def _causes(self) -> frozenset[Fingerprint]:
-        """Requests that are blocked, or would be tried once more."""
+        """Return the requests that are blocked or may run one more attempt."""
         if self._cached_causes is None:
             self._cached_causes = find_causes(
                 suspicions={
@@ -313,30 +297,32 @@
             )
         return self._cached_causes
 
-    def _blocked_error(
+    def _blocked(
         self, *, suspect: _Suspect, attempts: int, wait: float
     ) -> RequestBlocked:
         now = self._clock()
-        ends = sorted(suspect.crashes.items(), key=lambda item: item[1].at)
-        told = ", ".join(f"{name} {now - seen.at:.1f} s ago" for name, seen in ends)
+        items = sorted(suspect.crashes.items(), key=lambda item: item[1].at)
+        listed = ", ".join(
+            f"{name} {now - event.at:.1f} s ago" for name, event in items
+        )
         return RequestBlocked(
-            f"{len(ends)} endpoints ended under this request ({told}) and {attempts} "
-            "are trying it; send another one, or this one later",
+            f"{len(items)} endpoints crashed while running this request ({listed}) "
+            f"and {attempts} are running it; send another request or retry later",
             retry_after=wait,
         )
 
-    def _observations(self) -> Iterator[_Reportable]:
+    def _events(self) -> Iterator[_Reportable]:
         for fingerprint, suspect in self._suspects.items():
-            for kind, all_seen in (
+            for kind, events in (
                 (NoteKind.ENDED, suspect.crashes),
                 (NoteKind.TRIED, suspect.attempts),
             ):
-                for endpoint, seen in all_seen.items():
+                for endpoint, event in events.items():
                     yield _Reportable(
                         kind=kind,
                         fingerprint=fingerprint,
                         endpoint=endpoint,
-                        observation=seen,
+                        event=event,
                         crash_count=len(suspect.crashes),
                     )
             if suspect.served is not None:
@@ -344,27 +330,27 @@
                     kind=NoteKind.SERVED,
                     fingerprint=fingerprint,
                     endpoint=None,
-                    observation=suspect.served,
+                    event=suspect.served,
                     crash_count=len(suspect.crashes),
                 )
 
     def _expire(self, *, now: float) -> None:
         causes = self._causes()
         for fingerprint, suspect in tuple(self._suspects.items()):
-            kept = SUSPICION_SECONDS
+            expiry = SUSPICION_SECONDS
             if fingerprint in causes:
-                kept += _block_seconds(crash_count=len(suspect.crashes))
+                expiry += _block_time(crashes=len(suspect.crashes))
             suspect.attempts = {
-                endpoint: seen
-                for endpoint, seen in suspect.attempts.items()
-                if now - seen.at <= MAX_ATTEMPT_SECONDS
+                endpoint: event
+                for endpoint, event in suspect.attempts.items()
+                if now - event.at <= MAX_ATTEMPT_SECONDS
             }
-            if now - suspect.last_seen_at > kept and not suspect.attempts:
+            if now - suspect.last_seen_at > expiry and not suspect.attempts:
                 del self._suspects[fingerprint]
                 self._cached_causes = None
 
     def _evict(self) -> None:
-        """Forget the least suspect, oldest first, beyond what may be kept."""
+        """Remove requests with the fewest crashes, oldest first, above MAX_SUSPECTS."""
         while len(self._suspects) > MAX_SUSPECTS:
             least = min(
                 self._suspects,
@@ -378,39 +364,37 @@
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class _Reportable:
-    """Something that may be told, and how much it matters."""
+    """An event that a report may contain, and its priority."""
 
     kind: NoteKind
     fingerprint: Fingerprint
     endpoint: EndpointId | None
-    observation: _Observation
+    event: _Event
     crash_count: int
 
     def note(self, *, now: float) -> CrashNote:
-        """As other routers are told."""
+        """Return the event as a note to other routers."""
         return CrashNote(
             kind=self.kind,
             fingerprint=self.fingerprint,
             endpoint=self.endpoint,
-            age=now - self.observation.at,
-            begun=self.observation.begun,
+            age=now - self.event.at,
+            begun=self.event.begun,
         )
 
 
-def _is_due(reportable: _Reportable, *, now: float) -> bool:
-    """Tell whether something is news, or an end that was told a while ago."""
-    pause = (
-        REPORT_INTERVAL_SECONDS
-        if reportable.crash_count > 1
-        else SINGLE_CRASH_REPORT_INTERVAL_SECONDS
+def _is_due(item: _Reportable, *, now: float) -> bool:
+    """Return whether an event is new, or a crash whose last report is old."""
+    interval = (
+        REPORT_INTERVAL_SECONDS if item.crash_count > 1 else ONE_CRASH_INTERVAL_SECONDS
     )
-    if reportable.kind is not NoteKind.ENDED:
-        pause = float("inf")
-    return reportable.observation.report_state.is_due(now=now, interval=pause)
+    if item.kind is not NoteKind.ENDED:
+        interval = float("inf")
+    return item.event.report_state.is_due(now=now, interval=interval)
 
 
-def _block_seconds(*, crash_count: int) -> float:
-    """Seconds for which a request is blocked under which some endpoints ended."""
+def _block_time(*, crashes: int) -> float:
+    """Return the seconds of a block after a number of crashes."""
     return min(
-        MIN_BLOCK_SECONDS * 2 ** (crash_count - MIN_CRASHES_TO_BLOCK), MAX_BLOCK_SECONDS
+        MIN_BLOCK_SECONDS * 2 ** (crashes - MIN_CRASHES_TO_BLOCK), MAX_BLOCK_SECONDS
     )
--- a/dotterelpaddle/forwarding/fingerprints.py
+++ b/dotterelpaddle/forwarding/fingerprints.py
@@ -1,7 +1,7 @@
-"""Recognizes a request that comes again.
+"""Computes fingerprints, which identify repeated requests.
 
-Each try of a caller bears an id of its own and may reach any router. What it asks
-for stays the same, and so does its fingerprint, at every router.
+Each retry of a caller has its own request id and may reach any router. Its content
+stays the same, so every router computes the same fingerprint for it.
 """
 
 from __future__ import annotations
@@ -16,11 +16,11 @@
     from dotterelpaddle.forwarding.model import ClientAccount
 
 DIGEST_BYTES = 12
-"""Length of a fingerprint. Nobody can find a request with the fingerprint of another
-account's: the account is part of what is hashed, and 96 bits are out of reach."""
+"""Length of a fingerprint. A caller can't construct a request with the fingerprint of
+another account's request, because the hash covers the account and has 96 bits."""
 
 LENGTH_PREFIX_BYTES = 8
-"""Length of the sizes between the hashed parts, which keep them apart."""
+"""Length of the size before each hashed field, which separates the fields."""
 
 
 def fingerprint_of(
@@ -29,18 +29,18 @@
     """Return the fingerprint of a request.
 
     Args:
-        request: Its head.
-        account: The client account that sends it, None on public routes.
-        body: Its whole body.
+        request: The request without its body.
+        account: Client account of the caller, None on public routes.
+        body: The complete body.
     """
     digest = hashlib.blake2b(digest_size=DIGEST_BYTES)
-    for part in (
+    for field in (
         request.method.encode(),
         request.host.encode(),
         request.target,
         account.name.encode() if account is not None else b"",
         body,
     ):
-        digest.update(len(part).to_bytes(LENGTH_PREFIX_BYTES))
-        digest.update(part)
+        digest.update(len(field).to_bytes(LENGTH_PREFIX_BYTES))
+        digest.update(field)
     return Fingerprint(digest.hexdigest())
--- a/dotterelpaddle/forwarding/liveness.py
+++ b/dotterelpaddle/forwarding/liveness.py
@@ -1,7 +1,7 @@
-"""Tells endpoints that are slow for all from those that have lost one request.
+"""Distinguishes endpoints that are slow for all requests from lost requests.
 
-A request that is given up on and sent to another endpoint runs twice. Where all
-endpoints are slow, each of them then runs more, and all get slower.
+If a router gives up on a request and retries it at another endpoint, the request runs
+twice. If all endpoints are slow, such retries add load and make them slower.
 """
 
 from __future__ import annotations
@@ -14,21 +14,21 @@
     from dotterelpaddle.ids import EndpointId
 
 MAX_SILENCE_SECONDS = 0.15
-"""Seconds since the last bytes from an endpoint within which it counts as alive: one
-that decodes several streams sends something every 20 to 60 ms. One that was cut off
-or died is given up on this much later at most."""
+"""Seconds since the last bytes from an endpoint for which it counts as alive. An
+endpoint that decodes several streams sends bytes every 20 to 60 ms. The limit delays
+giving up on an endpoint that crashed or is cut off by no more than this."""
 
 MIN_OVERTAKING_ANSWERS = 3
 """Answers to later requests that must have begun before a request counts as lost.
-Shorter prompts and more urgent requests overtake one or two; an endpoint that loses a
-part of its requests goes on with the others."""
+Requests with shorter prompts or higher priority may overtake by one or two. An endpoint
+that loses some requests continues to answer the others."""
 
 MAX_REMEMBERED_ANSWERS = 8
-"""Answers of one endpoint whose requests' times are remembered."""
+"""Number of answers per endpoint for which the send times are kept."""
 
 
 class _Liveness:
-    """What was seen of one endpoint."""
+    """Last bytes and answers of one endpoint."""
 
     def __init__(self) -> None:
         self.last_bytes_at = float("-inf")
@@ -36,7 +36,7 @@
 
 
 class EndpointLiveness:
-    """Signs of life of endpoints, from all requests of this router.
+    """Tracks the liveness of endpoints from all requests of this router.
 
     Args:
         clock: Monotonic clock.
@@ -47,37 +47,40 @@
         self._endpoints: dict[EndpointId, _Liveness] = {}
 
     def record_bytes(self, *, endpoint: EndpointId) -> None:
-        """Note that some bytes came from an endpoint."""
+        """Record that an endpoint sent bytes."""
         self._of(endpoint).last_bytes_at = self._clock()
 
     def record_answer_start(self, *, endpoint: EndpointId, sent_at: float) -> None:
-        """Note that the answer to a request that was sent at some time began."""
-        signs = self._of(endpoint)
-        signs.last_bytes_at = self._clock()
-        signs.answered_sent_at.append(sent_at)
+        """Record that the answer to a request that was sent at `sent_at` began."""
+        liveness = self._of(endpoint)
+        liveness.last_bytes_at = self._clock()
+        liveness.answered_sent_at.append(sent_at)
 
     def is_slow(self, *, endpoint: EndpointId, sent_at: float) -> bool:
-        """Tell whether an unanswered request waits because the endpoint is slow.
+        """Return whether a request is unanswered because its endpoint is slow.
 
         Args:
             endpoint: The endpoint.
-            sent_at: When the request was sent.
+            sent_at: Send time of the request.
         """
-        signs = self._endpoints.get(endpoint)
-        if signs is None or self._clock() - signs.last_bytes_at > MAX_SILENCE_SECONDS:
+        liveness = self._endpoints.get(endpoint)
+        if (
+            liveness is None
+            or self._clock() - liveness.last_bytes_at > MAX_SILENCE_SECONDS
+        ):
             return False
         return (
-            sum(each > sent_at for each in signs.answered_sent_at)
+            sum(each > sent_at for each in liveness.answered_sent_at)
             < MIN_OVERTAKING_ANSWERS
         )
 
     def retain(self, *, endpoints: frozenset[EndpointId]) -> None:
-        """Forget all endpoints but some."""
+        """Remove all endpoints except the given ones."""
         for endpoint in self._endpoints.keys() - endpoints:
             del self._endpoints[endpoint]
 
     def _of(self, endpoint: EndpointId) -> _Liveness:
-        signs = self._endpoints.get(endpoint)
-        if signs is None:
-            signs = self._endpoints[endpoint] = _Liveness()
-        return signs
+        liveness = self._endpoints.get(endpoint)
+        if liveness is None:
+            liveness = self._endpoints[endpoint] = _Liveness()
+        return liveness
--- a/dotterelpaddle/forwarding/retry_budget.py
+++ b/dotterelpaddle/forwarding/retry_budget.py
@@ -1,10 +1,10 @@
-"""The budget of repeats, which all routers share.
+"""The retry budget that all routers share.
 
-Each endpoint that gets a request beyond the first costs a repeat, also where
-it refuses. Repeats over all routers stay under a share of the requests plus an
-allowance, in any window. A router goes by its own counts and by what the others
-last told; the room that is left is split evenly, because others may spend it at
-the same moment.
+Each attempt after the first one of a request costs one retry, even if the endpoint
+refuses the request. In every window, the retries of all routers stay below a share of
+the requests plus an allowance. A router uses its own counts and the last reports of the
+others. It takes an even part of the remaining budget, because other routers may spend
+theirs at the same moment.
 """
 
 from __future__ import annotations
@@ -23,23 +23,23 @@
     from dotterelpaddle.ids import ServiceName
 
 BUDGET_SAFETY_FACTOR = 0.85
-"""Share of the budget that is spent; the rest is for counts on their way."""
+"""Share of the budget that routers spend; the rest covers counts not yet reported."""
 
 ROUTER_COUNT_MEMORY_SECONDS = 30.0
-"""Seconds for which routers that were counted may still spend repeats unheard; a cut
-network is whole again by then, or its other side has little left to repeat."""
+"""Seconds for which routers that no longer report still count as spending retries. By
+then a network partition has healed, or its other side has little left to retry."""
 
 WINDOW_STEP_SECONDS = 0.25
-"""Seconds of one step in which requests are counted together."""
+"""Length of one step of the sliding window, seconds."""
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class RetryLimits:
-    """What repeats may cost.
+    """Limits on the retries of all routers.
 
     Attributes:
-        share: Repeats as a share of the requests in a window.
-        allowance: Repeats in a window beside that.
+        share: Retries as a share of the requests in a window.
+        allowance: Additional retries in a window.
         window: Length of the window, seconds.
     """
 
@@ -72,12 +72,12 @@
 
 
 class RetryBudget:
-    """Counts requests and repeats, and says whether one more may be sent.
+    """Counts requests and retries, and limits the retries.
 
     Args:
-        limits: What repeats may cost.
-        totals: What other routers told.
-        routers: Tells how many routers there are, this one included.
+        limits: Limits on the retries of all routers.
+        totals: Request totals that other routers reported.
+        routers: Returns the number of routers, including this one.
         clock: Monotonic clock.
     """
 
@@ -99,22 +99,22 @@
         self._max_router_count_at = clock()
 
     def count_request(self, *, service: ServiceName) -> None:
-        """Count a request that came in for a service."""
+        """Count a request for a service."""
         self._window(self._requests, service).add(now=self._clock())
 
     def has_room(self, *, service: ServiceName) -> bool:
-        """Tell whether one more repeat is within the budget."""
+        """Return whether one more retry is within the budget."""
         return self.room(service=service) >= 1.0
 
     def acquire(self, *, service: ServiceName) -> bool:
-        """Count a repeat; False, and nothing counted, without room for it."""
+        """Count a retry; return False without counting it if the budget is spent."""
         if not self.has_room(service=service):
             return False
         self._window(self._retries, service).add(now=self._clock())
         return True
 
     def counts(self) -> dict[ServiceName, RetryCounts]:
-        """What this router sent in the last window, for the others."""
+        """Return the counts of this router in the last window, for reports."""
         now = self._clock()
         self._record_router_count(count=self._totals.router_count, now=now)
         services = self._requests.keys() | self._retries.keys()
@@ -127,28 +127,28 @@
         }
 
     def room(self, *, service: ServiceName) -> float:
-        """Repeats that this router may still make."""
+        """Return the number of retries that this router may still make."""
         now = self._clock()
         own_requests = self._window(self._requests, service).total(now=now)
-        own_repeats = self._window(self._retries, service).total(now=now)
-        requests, repeats, heard = own_requests, own_repeats, 1
-        for share in self._totals.current(max_age=self._limits.window):
-            heard += share.routers
-            counts = share.retries.get(service)
+        own_retries = self._window(self._retries, service).total(now=now)
+        requests, retries, reporting = own_requests, own_retries, 1
+        for each in self._totals.current(max_age=self._limits.window):
+            reporting += each.routers
+            counts = each.retries.get(service)
             if counts is not None:
                 requests += counts.requests
-                repeats += counts.retries
-        self._record_router_count(count=heard, now=now)
+                retries += counts.retries
+        self._record_router_count(count=reporting, now=now)
         routers = max(self._routers(), self._max_router_count)
         budget = BUDGET_SAFETY_FACTOR * (
             self._limits.share * requests + self._limits.allowance
         )
-        # Routers that were not heard of may have spent as much as this one.
-        unheard = (routers - heard) * budget / routers
-        return (budget - repeats - unheard) / max(1.0, routers / 2)
+        # Routers without a report may have spent an even part each.
+        unreported = (routers - reporting) * budget / routers
+        return (budget - retries - unreported) / max(1.0, routers / 2)
 
     def _record_router_count(self, *, count: int, now: float) -> None:
-        """Remember the most routers whose repeats were counted of late."""
+        """Record the greatest recent number of routers whose retries were counted."""
         if (
             count >= self._max_router_count
             or now - self._max_router_count_at > ROUTER_COUNT_MEMORY_SECONDS
--- a/dotterelpaddle/tests/forwarding/test_crashes.py
+++ b/dotterelpaddle/tests/forwarding/test_crashes.py
@@ -16,7 +16,7 @@
     MIN_BLOCK_SECONDS,
     MIN_CRASHES_TO_BLOCK,
     REPORT_INTERVAL_SECONDS,
-    SINGLE_CRASH_REPORT_INTERVAL_SECONDS,
+    ONE_CRASH_INTERVAL_SECONDS,
     SUSPICION_SECONDS,
     CrashTracker,
 )
@@ -314,7 +314,7 @@
 
     def teardown(self) -> None:
         for _ in range(3):
-            self._pass(seconds=SINGLE_CRASH_REPORT_INTERVAL_SECONDS)
+            self._pass(seconds=ONE_CRASH_INTERVAL_SECONDS)
             for _ in range(REPORTS_PER_UPDATE + 1):
                 for sender in range(3):
                     self._tell(sender=sender, lost=set())
