--- a/dotterelpaddle/tests/forwarding/test_aggregation.py
+++ b/dotterelpaddle/tests/forwarding/test_aggregation.py
@@ -1,4 +1,4 @@
-"""A router that relies on aggregators learns all news from them."""
+"""A router that relies on aggregators receives all updates from them."""
 
 from __future__ import annotations
 
@@ -22,27 +22,25 @@
 
 @pytest.fixture(autouse=True)
 def small_mesh(monkeypatch: pytest.MonkeyPatch) -> None:
-    """Let two routers aggregate for a third one."""
+    """Make two routers aggregate for a third one."""
     monkeypatch.setattr(plan, "MAX_MESH_ROUTERS", 2)
 
 
 async def _add_member(fleet: Fleet) -> int:
-    """Add two routers with good links, and one that relies on them.
+    """Add two routers with fast links, and one that relies on them as aggregators.
 
-    The last one has no way to the store: what it knows it has from the others.
+    The last one can't connect to the store, so all its state comes from the others.
     """
     fleet_links = (100, 100)
     for link in fleet_links:
-        await fleet.add_router(link=link)
-    member = await fleet.add_router(link=1, store=NO_STORE)
-    knowledge = member.parts.state
-    await wait_until(
-        lambda: not knowledge.totals.is_aggregator and member.parts.app.ready
-    )
+        await fleet.add_router(link_mbps=link)
+    member = await fleet.add_router(link_mbps=1, store=NO_STORE)
+    state = member.parts.state
+    await wait_until(lambda: not state.totals.is_aggregator and member.parts.app.ready)
     return len(fleet.routers) - 1
 
 
-async def test_member_has_configuration_and_endpoints_from_others() -> None:
+async def test_member_receives_configuration_and_endpoints_from_others() -> None:
     async with run_fleet(routers=0) as fleet:
         member = await _add_member(fleet)
         view = fleet.routers[member].parts.state.view
@@ -58,20 +56,22 @@
     assert answer.status == 200
 
 
-async def test_member_counts_the_requests_of_all() -> None:
+async def test_member_counts_the_requests_of_all_routers() -> None:
     async with run_fleet(routers=0) as fleet:
         member = await _add_member(fleet)
-        books = [router.parts.state.loads for router in fleet.routers]
+        trackers = [router.parts.state.loads for router in fleet.routers]
         endpoint = EndpointId("runner-1")
         with (
-            books[0].track(endpoint=endpoint),
-            books[1].track(endpoint=endpoint),
-            books[member].track(endpoint=endpoint),
+            trackers[0].track(endpoint=endpoint),
+            trackers[1].track(endpoint=endpoint),
+            trackers[member].track(endpoint=endpoint),
         ):
-            await wait_until(lambda: all(book.loads()[endpoint] == 3 for book in books))
+            await wait_until(
+                lambda: all(tracker.loads()[endpoint] == 3 for tracker in trackers)
+            )
 
 
-async def test_member_goes_on_when_aggregators_have_ended() -> None:
+async def test_member_continues_without_aggregators() -> None:
     async with run_fleet(routers=0) as fleet:
         member = await _add_member(fleet)
         parts = fleet.routers[member].parts
--- a/dotterelpaddle/tests/forwarding/test_caches.py
+++ b/dotterelpaddle/tests/forwarding/test_caches.py
@@ -1,4 +1,4 @@
-"""Where parts of prompts are known to be, and who is told."""
+"""The map of cached prompt parts and its reports to other routers."""
 
 from __future__ import annotations
 
@@ -18,17 +18,17 @@
 LONG = make_request(("system", 500), ("chat", 10_000))
 
 
-def test_uses_are_told_a_few_times_and_a_few_at_a_time() -> None:
+def test_each_use_is_in_several_reports_of_limited_size() -> None:
     caches = CacheMap(clock=lambda: 0.0)
     for number in range(MAX_LOCAL_USES_PER_REPORT + 10):
         caches.record_part(endpoint=A, part=number)
 
     reports = [caches.take_pending() for _ in range(20)]
 
-    told = [use for report in reports for use in report]
+    reported = [use for report in reports for use in report]
     assert max(len(report) for report in reports) == MAX_LOCAL_USES_PER_REPORT
-    assert {told.count(use) for use in set(told)} == {REPORTS_PER_USE}
-    assert len(set(told)) == MAX_LOCAL_USES_PER_REPORT + 10
+    assert {reported.count(use) for use in set(reported)} == {REPORTS_PER_USE}
+    assert len(set(reported)) == MAX_LOCAL_USES_PER_REPORT + 10
 
 
 def test_part_counts_only_with_all_parts_before_it() -> None:
@@ -41,31 +41,31 @@
     assert caches.missing_tokens(endpoint=B, request=LONG) == 10_500
 
 
-def test_prompt_that_never_arrived_is_forgotten() -> None:
+def test_prompt_that_never_arrived_is_removed() -> None:
     caches = CacheMap(clock=lambda: 0.0)
     caches.record_prompt(endpoint=A, request=make_request(("system", 500)))
-    noted = caches.record_prompt(endpoint=A, request=LONG)
-    caches.retract_parts(endpoint=A, parts=noted)
+    new_parts = caches.record_prompt(endpoint=A, request=LONG)
+    caches.retract_parts(endpoint=A, parts=new_parts)
 
     assert caches.missing_tokens(endpoint=A, request=LONG) == 10_000
     assert len(caches.take_pending()) == 1
 
 
-def test_use_that_all_know_is_told_again_now_and_then() -> None:
+def test_known_use_is_reported_again_after_a_while() -> None:
     now = 0.0
     caches = CacheMap(clock=lambda: now)
     caches.receive(uses=[(1, A)])
 
     caches.record_part(endpoint=A, part=1)
-    at_once = caches.take_pending()
+    first_report = caches.take_pending()
     now = MIN_REPEAT_REPORT_SECONDS
     caches.record_part(endpoint=A, part=1)
 
-    assert at_once == []
+    assert first_report == []
     assert caches.take_pending() == [(1, A)]
 
 
-def test_use_is_passed_on_as_news_of_its_origin() -> None:
+def test_use_is_forwarded_under_its_origin() -> None:
     caches = CacheMap(clock=lambda: 0.0)
 
     caches.receive(uses=[(1, A)], forward_as=UseOrigin.SAME_DOMAIN)
--- a/dotterelpaddle/tests/forwarding/test_crash_causes.py
+++ b/dotterelpaddle/tests/forwarding/test_crash_causes.py
@@ -1,4 +1,4 @@
-"""Which of the requests that were there is the cause of endpoints' ends."""
+"""Which of the requests that were running causes crashes."""
 
 from __future__ import annotations
 
@@ -7,9 +7,9 @@
 from dotterelpaddle.forwarding.crash_causes import Suspicion, find_causes
 from dotterelpaddle.ids import EndpointId, Fingerprint
 
-LEAST = 3
+MIN_CRASHES = 3
 CULPRIT = Fingerprint("culprit")
-ENDS = st.frozensets(st.sampled_from([EndpointId(each) for each in "abcdefgh"]))
+CRASHES = st.frozensets(st.sampled_from([EndpointId(each) for each in "abcdefgh"]))
 
 
 def _suspicion(names: str, begun: int = 0) -> Suspicion:
@@ -19,56 +19,56 @@
     )
 
 
-@given(st.lists(ENDS, max_size=6))
-def test_request_that_was_there_at_all_ends_is_the_only_cause(
+@given(st.lists(CRASHES, max_size=6))
+def test_request_in_all_crashes_is_the_only_cause(
     others: list[frozenset[EndpointId]],
 ) -> None:
-    """Guards against blame for streams that were sent on beside the cause."""
+    """Guards against blocking streams that were retried together with the cause."""
     suspicions = {
         Fingerprint(f"other-{number}"): Suspicion(
-            crashed_endpoints=ended, begun_count=0
+            crashed_endpoints=crashed, begun_count=0
         )
-        for number, ended in enumerate(others)
+        for number, crashed in enumerate(others)
     }
     suspicions[CULPRIT] = _suspicion("abcdefgh", begun=1)
 
-    assert find_causes(suspicions=suspicions, min_crashes=LEAST) == {CULPRIT}
+    assert find_causes(suspicions=suspicions, min_crashes=MIN_CRASHES) == {CULPRIT}
 
 
-@given(st.lists(ENDS, max_size=6))
-def test_causes_do_not_depend_on_the_order_of_the_news(
-    ends: list[frozenset[EndpointId]],
+@given(st.lists(CRASHES, max_size=6))
+def test_causes_do_not_depend_on_the_order_of_reports(
+    crashes: list[frozenset[EndpointId]],
 ) -> None:
-    """Guards against routers that heard the same and block different requests."""
+    """Guards against routers that block different requests on the same reports."""
     named = [
         (
             Fingerprint(f"request-{number}"),
             Suspicion(crashed_endpoints=each, begun_count=0),
         )
-        for number, each in enumerate(ends)
+        for number, each in enumerate(crashes)
     ]
 
-    assert find_causes(suspicions=dict(named), min_crashes=LEAST) == find_causes(
-        suspicions=dict(reversed(named)), min_crashes=LEAST
+    assert find_causes(suspicions=dict(named), min_crashes=MIN_CRASHES) == find_causes(
+        suspicions=dict(reversed(named)), min_crashes=MIN_CRASHES
     )
 
 
-@given(st.lists(ENDS, max_size=6))
-def test_each_cause_has_ends_that_no_other_explains(
-    ends: list[frozenset[EndpointId]],
+@given(st.lists(CRASHES, max_size=6))
+def test_each_cause_has_crashes_that_no_other_explains(
+    crashes: list[frozenset[EndpointId]],
 ) -> None:
     suspicions = {
         Fingerprint(f"request-{number}"): Suspicion(
             crashed_endpoints=each, begun_count=0
         )
-        for number, each in enumerate(ends)
+        for number, each in enumerate(crashes)
     }
-    causes = find_causes(suspicions=suspicions, min_crashes=LEAST)
-    all_ended = {
+    causes = find_causes(suspicions=suspicions, min_crashes=MIN_CRASHES)
+    all_crashed = {
         name for cause in causes for name in suspicions[cause].crashed_endpoints
     }
 
-    assert len(all_ended) >= LEAST * len(causes)
+    assert len(all_crashed) >= MIN_CRASHES * len(causes)
 
 
 def test_separate_causes_are_all_found() -> None:
@@ -78,8 +78,11 @@
         second: _suspicion("cdefg"),
         beside: _suspicion("abg"),
     }
-    assert find_causes(suspicions=suspicions, min_crashes=LEAST) == {second}
+    assert find_causes(suspicions=suspicions, min_crashes=MIN_CRASHES) == {second}
 
     suspicions[CULPRIT] = _suspicion("abch")
 
-    assert find_causes(suspicions=suspicions, min_crashes=LEAST) == {CULPRIT, second}
+    assert find_causes(suspicions=suspicions, min_crashes=MIN_CRASHES) == {
+        CULPRIT,
+        second,
+    }
--- a/dotterelpaddle/tests/forwarding/test_fingerprints.py
+++ b/dotterelpaddle/tests/forwarding/test_fingerprints.py
@@ -1,4 +1,4 @@
-"""What makes two tries of a caller the same request."""
+"""Which requests have the same fingerprint."""
 
 from __future__ import annotations
 
@@ -22,12 +22,12 @@
     )
 
 
-def test_next_try_of_a_caller_has_the_same_fingerprint() -> None:
-    again = replace(
+def test_retry_of_a_caller_has_the_same_fingerprint() -> None:
+    retry = replace(
         REQUEST, request_id=RequestId("again"), time_left=1.0, last_event_id="3"
     )
 
-    assert _fingerprint(request=again) == _fingerprint()
+    assert _fingerprint(request=retry) == _fingerprint()
 
 
 @pytest.mark.parametrize(
@@ -47,7 +47,7 @@
     assert _fingerprint(**fields) != _fingerprint()
 
 
-def test_bytes_that_move_between_parts_make_another_fingerprint() -> None:
+def test_bytes_that_move_between_fields_change_the_fingerprint() -> None:
     account = ClientAccount(name=AccountId("acm"))
 
     assert _fingerprint(account=account, body=b"ebody") != _fingerprint()
--- a/dotterelpaddle/tests/forwarding/test_liveness.py
+++ b/dotterelpaddle/tests/forwarding/test_liveness.py
@@ -1,8 +1,8 @@
-"""Requests that wait at slow endpoints, and those that were lost there.
+"""Requests that wait at slow endpoints, and requests that are lost.
 
-The pattern: two engines have the load of eight and read most prompts anew. A request
-waits there for a second beside others that wait as long, and is not sent to the other
-engine as well. An engine that fails part of its requests answers later ones meanwhile.
+Guards against retries that add load: two engines have the load of eight and read most
+prompts anew. All requests wait for a second there, and a retry at the other engine
+would run twice. An engine that loses some requests still answers later ones.
 """
 
 from __future__ import annotations
@@ -24,54 +24,54 @@
 
 
 class World:
-    """One router and its clock."""
+    """A router and its clock."""
 
     def __init__(self) -> None:
         self.now = 0.0
-        self.signs = EndpointLiveness(clock=lambda: self.now)
+        self.liveness = EndpointLiveness(clock=lambda: self.now)
 
 
-def test_engine_that_answers_in_order_is_slow_for_all() -> None:
+def test_engine_that_answers_in_order_is_slow() -> None:
     world = World()
     for number in range(20):
         world.now = 1.0 + number / 100
-        world.signs.record_answer_start(endpoint=ENGINE, sent_at=number / 100)
+        world.liveness.record_answer_start(endpoint=ENGINE, sent_at=number / 100)
 
-    assert world.signs.is_slow(endpoint=ENGINE, sent_at=0.2)
+    assert world.liveness.is_slow(endpoint=ENGINE, sent_at=0.2)
 
 
-def test_request_that_later_ones_overtook_is_lost() -> None:
+def test_request_overtaken_by_later_ones_is_lost() -> None:
     world = World()
     world.now = 1.0
     for number in range(MIN_OVERTAKING_ANSWERS):
-        world.signs.record_answer_start(endpoint=ENGINE, sent_at=0.5 + number / 100)
+        world.liveness.record_answer_start(endpoint=ENGINE, sent_at=0.5 + number / 100)
 
-    assert not world.signs.is_slow(endpoint=ENGINE, sent_at=0.4)
-    assert world.signs.is_slow(endpoint=ENGINE, sent_at=0.51)
+    assert not world.liveness.is_slow(endpoint=ENGINE, sent_at=0.4)
+    assert world.liveness.is_slow(endpoint=ENGINE, sent_at=0.51)
 
 
-def test_engine_that_sends_nothing_to_anybody_is_not_waited_for() -> None:
+def test_silent_engine_is_not_slow() -> None:
     world = World()
-    world.signs.record_bytes(endpoint=ENGINE)
+    world.liveness.record_bytes(endpoint=ENGINE)
     world.now = MAX_SILENCE_SECONDS + 0.01
 
-    assert not world.signs.is_slow(endpoint=ENGINE, sent_at=0.0)
+    assert not world.liveness.is_slow(endpoint=ENGINE, sent_at=0.0)
 
 
-def test_engine_that_was_never_heard_is_not_waited_for() -> None:
-    assert not World().signs.is_slow(endpoint=ENGINE, sent_at=0.0)
+def test_engine_without_any_bytes_is_not_slow() -> None:
+    assert not World().liveness.is_slow(endpoint=ENGINE, sent_at=0.0)
 
 
-def test_engines_that_are_gone_are_forgotten() -> None:
+def test_removed_engines_are_dropped() -> None:
     world = World()
-    world.signs.record_bytes(endpoint=ENGINE)
-    world.signs.retain(endpoints=frozenset())
+    world.liveness.record_bytes(endpoint=ENGINE)
+    world.liveness.retain(endpoints=frozenset())
 
-    assert not world.signs.is_slow(endpoint=ENGINE, sent_at=0.0)
+    assert not world.liveness.is_slow(endpoint=ENGINE, sent_at=0.0)
 
 
 class LateStream(httpcore.AsyncNetworkStream):
-    """A connection on which some reads come to nothing in their time."""
+    """A connection whose first reads time out."""
 
     def __init__(self, *, late: int) -> None:
         self.late = late
@@ -92,7 +92,7 @@
 
 
 @pytest.mark.anyio
-async def test_read_goes_on_while_there_is_more_time() -> None:
+async def test_read_continues_while_its_timeout_is_extended() -> None:
     late = LateStream(late=2)
     linked = _linked(late)
     linked.read_extension = lambda: 0.1
@@ -102,7 +102,7 @@
 
 
 @pytest.mark.anyio
-async def test_read_ends_when_there_is_no_more_time() -> None:
+async def test_read_ends_when_its_timeout_is_not_extended() -> None:
     late = LateStream(late=9)
     linked = _linked(late)
     more = [0.1, -0.02]
@@ -114,7 +114,7 @@
 
 
 @pytest.mark.anyio
-async def test_read_that_nobody_extends_ends_in_its_time() -> None:
+async def test_read_without_extension_times_out() -> None:
     late = LateStream(late=1)
 
     with pytest.raises(httpcore.ReadTimeout):
--- a/dotterelpaddle/tests/forwarding/test_placement.py
+++ b/dotterelpaddle/tests/forwarding/test_placement.py
@@ -62,20 +62,20 @@
 
 @dataclass(kw_only=True)
 class World:
-    """What a placer knows, with a clock that tests turn."""
+    """A placer with its state and a clock that tests set."""
 
     now: float = 0.0
     endpoints: tuple[EndpointId, ...] = (A, B, C)
     draining: frozenset[EndpointId] = frozenset()
-    parts: Any = field(init=False)
+    state: Any = field(init=False)
 
     def __post_init__(self) -> None:
         def clock() -> float:
             return self.now
 
         view = FleetView(clock=clock)
-        shares = TotalsTracker(failure_domain=HERE, clock=clock)
-        loads, health = LoadTracker(shares=shares), HealthTracker(clock=clock)
+        totals = TotalsTracker(failure_domain=HERE, clock=clock)
+        loads, health = LoadTracker(shares=totals), HealthTracker(clock=clock)
         caches = CacheMap(clock=clock)
         reachability = Reachability(
             view=view,
@@ -94,10 +94,10 @@
             failure_domain=HERE,
             generator=random.Random(1),
         )
-        self.parts = SimpleNamespace(
+        self.state = SimpleNamespace(
             view=view,
             loads=loads,
-            shares=shares,
+            totals=totals,
             health=health,
             caches=caches,
             reachability=reachability,
@@ -124,27 +124,27 @@
         self,
         request: ForwardRequest = PLAIN,
         *,
-        repeatable: bool = True,
+        retryable: bool = True,
         excluded: frozenset[EndpointId] = frozenset(),
     ) -> Choice:
-        choice: Choice = self.parts.placer.choose(
+        choice: Choice = self.state.placer.choose(
             service=SERVICE,
             request=request,
-            repeatable=repeatable,
+            retryable=retryable,
             excluded=excluded,
         )
         return choice
 
     def load(self, **loads: int) -> None:
         counts = {EndpointId(name): load for name, load in loads.items()}
-        self.parts.shares.hear(
+        self.state.totals.receive(
             router=RouterId("other"),
             failure_domain=HERE,
-            share=RequestTotals(loads=counts),
+            totals=RequestTotals(loads=counts),
         )
 
 
-def test_plain_request_goes_where_the_least_is_in_flight() -> None:
+def test_request_without_prompt_goes_to_the_least_loaded_endpoint() -> None:
     world = World()
     world.load(a=3, b=1, c=2)
 
@@ -157,7 +157,7 @@
     assert {world.choose().entry.failure_domain for _ in range(20)} == {HERE}
 
 
-def test_other_model_is_not_sent_there() -> None:
+def test_request_for_an_unserved_model_is_refused() -> None:
     world = World()
     other = ForwardRequest(
         request_id=RequestId("request"),
@@ -175,7 +175,7 @@
     assert caught.value.retry_after
 
 
-def test_prompt_goes_back_to_where_it_was_read() -> None:
+def test_prompt_returns_to_the_endpoint_that_cached_it() -> None:
     world = World()
     first = world.choose(LONG)
     others = {A, B, C} - {first.entry.endpoint}
@@ -187,7 +187,7 @@
     assert again.reason is ChoiceReason.CACHED
 
 
-def test_no_cache_is_worth_the_wait_for_a_slot() -> None:
+def test_cached_prompt_does_not_wait_for_a_slot() -> None:
     world = World()
     first = world.choose(LONG)
     others = {A, B, C} - {first.entry.endpoint}
@@ -197,12 +197,12 @@
     assert world.choose(LONG).entry.endpoint in others
 
 
-def test_part_stays_when_an_endpoint_joins() -> None:
+def test_cached_prompts_stay_when_an_endpoint_joins() -> None:
     world = World(endpoints=(A, B))
     requests = [make_request(("system", 500), (f"chat-{n}", 10_000)) for n in range(30)]
     before = [world.choose(request).entry.endpoint for request in requests]
     joined = EndpointsUpdate(revision=Revision(2), entries=(world.entry(C),))
-    world.parts.view.take_endpoints(read=joined)
+    world.state.view.apply_endpoints_update(update=joined)
 
     assert [world.choose(request).entry.endpoint for request in requests] == before
 
@@ -218,13 +218,13 @@
     assert again.fetch_from is first.entry
 
 
-def test_leaving_endpoint_hands_out_its_cache() -> None:
+def test_prompt_is_fetched_from_a_leaving_endpoint() -> None:
     world = World()
     first = world.choose(LONG)
     world.draining = frozenset({first.entry.endpoint})
     leaving = replace(first.entry, state=EndpointState.DRAINING, revision=Revision(2))
     read = EndpointsUpdate(revision=Revision(2), entries=(leaving,))
-    world.parts.view.take_endpoints(read=read)
+    world.state.view.apply_endpoints_update(update=read)
 
     again = world.choose(LONG)
 
@@ -233,23 +233,23 @@
     assert again.fetch_from.endpoint == first.entry.endpoint
 
 
-def test_endpoint_whose_entry_has_just_gone_hands_out_its_cache() -> None:
+def test_prompt_is_fetched_from_an_endpoint_with_a_removed_entry() -> None:
     world = World()
     first = world.choose(LONG)
     gone = {first.entry.name: Revision(2)}
     read = EndpointsUpdate(revision=Revision(2), entries=(), removed=gone)
-    world.parts.view.take_endpoints(read=read)
+    world.state.view.apply_endpoints_update(update=read)
 
     assert world.choose(LONG).fetch_from is first.entry
 
 
-def test_endpoint_that_broke_off_before_it_went_is_not_asked_for_its_cache() -> None:
+def test_prompt_is_not_fetched_from_a_failed_endpoint_with_a_removed_entry() -> None:
     world = World()
     first = world.choose(LONG)
-    world.parts.health.failed_hard(entry=first.entry, cause="broke off")
+    world.state.health.record_hard_failure(entry=first.entry, cause="broke off")
     gone = {first.entry.name: Revision(2)}
     read = EndpointsUpdate(revision=Revision(2), entries=(), removed=gone)
-    world.parts.view.take_endpoints(read=read)
+    world.state.view.apply_endpoints_update(update=read)
 
     assert world.choose(LONG).fetch_from is None
 
@@ -257,7 +257,7 @@
 def test_fetch_goes_to_a_failure_domain_without_the_prompt() -> None:
     world = World(endpoints=(A, B, C, D))
     assert world.entry(A).failure_domain == world.entry(B).failure_domain
-    world.parts.caches.note(endpoint=A, request=LONG)
+    world.state.caches.record_prompt(endpoint=A, request=LONG)
     world.load(a=20, b=3, c=4, d=9)
 
     choice = world.choose(LONG)
@@ -279,19 +279,19 @@
     assert most <= 1.7 * 20 + LOAD_ALLOWANCE + 1
 
 
-def test_failing_endpoint_gets_what_can_be_repeated_only() -> None:
+def test_failing_endpoint_gets_only_retryable_requests() -> None:
     world = World(endpoints=(A, B))
     for _ in range(3):
-        world.parts.health.failed_answer(entry=world.entry(A))
+        world.state.health.record_error_answer(entry=world.entry(A))
     world.load(a=1, b=3)
 
-    assert world.choose(repeatable=True).entry.endpoint == A
-    assert world.choose(repeatable=False).entry.endpoint == B
+    assert world.choose(retryable=True).entry.endpoint == A
+    assert world.choose(retryable=False).entry.endpoint == B
 
 
 def test_ejected_endpoint_comes_back() -> None:
     world = World(endpoints=(A, B))
-    world.parts.health.failed_hard(entry=world.entry(A), cause="broke off")
+    world.state.health.record_hard_failure(entry=world.entry(A), cause="broke off")
     chosen = {world.choose().entry.endpoint for _ in range(10)}
     world.now += MIN_EJECTION_SECONDS + 0.1
     world.load(a=0, b=5)
@@ -303,18 +303,18 @@
 def test_success_of_an_older_request_does_not_end_an_ejection() -> None:
     world = World(endpoints=(A, B))
     world.now = 5.0
-    world.parts.health.failed_hard(entry=world.entry(A), cause="broke off")
-    world.parts.health.succeeded(endpoint=A, begun_at=4.0)
+    world.state.health.record_hard_failure(entry=world.entry(A), cause="broke off")
+    world.state.health.record_success(endpoint=A, started_at=4.0)
 
     assert world.choose().entry.endpoint == B
 
 
-def test_one_silence_is_no_reason_to_pass_an_endpoint_over() -> None:
+def test_endpoint_is_skipped_after_two_timeouts_not_one() -> None:
     world = World(endpoints=(A, B))
     world.load(a=0, b=5)
-    world.parts.health.was_silent(entry=world.entry(A))
+    world.state.health.record_timeout(entry=world.entry(A))
     after_one = world.choose().entry.endpoint
-    world.parts.health.was_silent(entry=world.entry(A))
+    world.state.health.record_timeout(entry=world.entry(A))
 
     assert after_one == A
     assert world.choose().entry.endpoint == B
@@ -324,43 +324,43 @@
     world = World()
     for name in (A, B, C):
         for _ in range(MIN_RESULTS * 2):
-            world.parts.health.failed_answer(entry=world.entry(name))
+            world.state.health.record_error_answer(entry=world.entry(name))
 
     assert world.choose().candidate_count == 3
 
 
 def test_replaced_endpoint_is_never_chosen() -> None:
     world = World(endpoints=(A,))
-    world.parts.health.gone(entry=world.entry(A))
+    world.state.health.record_replaced(entry=world.entry(A))
 
     with pytest.raises(NoEndpoint):
         world.choose()
 
 
-async def test_silent_endpoint_puts_its_failure_domain_in_doubt() -> None:
+async def test_timeout_makes_other_endpoints_of_the_failure_domain_suspect() -> None:
     world = World()
-    world.parts.reachability.suspect(entry=world.entry(C), silent=True)
+    world.state.reachability.suspect(entry=world.entry(C), timed_out=True)
     assert world.choose().candidate_count == 2
 
-    world.parts.reachability.suspect(entry=world.entry(A), silent=True)
+    world.state.reachability.suspect(entry=world.entry(A), timed_out=True)
     assert {world.choose().entry.endpoint for _ in range(5)} == {B}
 
 
-async def test_endpoints_of_a_failure_domain_that_is_checked_are_passed_over() -> None:
+async def test_endpoints_of_a_suspect_failure_domain_are_skipped() -> None:
     world = World()
-    world.parts.reachability.check(failure_domain=HERE)
+    world.state.reachability.suspect_domain(failure_domain=HERE)
 
     assert {world.choose().entry.endpoint for _ in range(5)} == {C}
 
 
-async def test_where_all_are_in_doubt_one_is_tried() -> None:
+async def test_suspect_endpoint_is_used_if_all_are_suspect() -> None:
     world = World(endpoints=(A,))
-    world.parts.reachability.suspect(entry=world.entry(A), silent=False)
+    world.state.reachability.suspect(entry=world.entry(A), timed_out=False)
 
     assert world.choose().entry.endpoint == A
 
 
-def test_word_of_a_silent_router_is_forgotten() -> None:
+def test_totals_of_a_silent_router_expire() -> None:
     world = World()
     world.load(a=50)
     world.now = MAX_TOTALS_AGE_SECONDS + 0.1
