--- a/dotterelpaddle/tests/forwarding/crash_callers.py
+++ b/dotterelpaddle/tests/forwarding/crash_callers.py
@@ -1,4 +1,4 @@
-"""Callers of a fleet whose endpoints end under one request."""
+"""Callers of a fleet in which one request crashes endpoints."""
 
 from __future__ import annotations
 
@@ -18,17 +18,17 @@
     from collections.abc import Mapping
 
 CALL_TIMEOUT_SECONDS = 5.0
-"""Seconds that callers wait."""
+"""Seconds after which callers give up."""
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class Answer:
-    """What a caller got.
+    """The answer that a caller received.
 
     Attributes:
-        status: HTTP status.
-        whole: Whether it is a success with its whole body.
-        retry_after: Seconds after which the caller may come back, None if unsaid.
+        status: HTTP status, 0 if the connection broke.
+        whole: Whether it is a success with a complete body.
+        retry_after: Seconds after which the caller may retry, None if not given.
     """
 
     status: int
@@ -38,12 +38,12 @@
 
 @dataclass(kw_only=True)
 class Served:
-    """What became of the requests of all other callers.
+    """Results of the requests of all other callers.
 
     Attributes:
-        sent: How many there were.
-        whole: How many got a whole answer, in the end.
-        refused: How often one was refused.
+        sent: Number of requests.
+        whole: Number of requests that finally received a complete answer.
+        refused: Number of refused attempts.
     """
 
     sent: int = 0
@@ -52,17 +52,17 @@
 
     @property
     def share(self) -> float:
-        """The share that got a whole answer."""
+        """Share of the requests with a complete answer."""
         return self.whole / self.sent
 
 
 class Callers:
-    """One that sends the culprit, and all others.
+    """The caller that sends the culprit, and all other callers.
 
     Attributes:
-        statuses: What the culprit's caller got.
-        others: What became of the others' requests.
-        calm: Ids of tries that came in at a router without trouble of its own.
+        statuses: HTTP statuses that the caller of the culprit received.
+        others: Results of the other callers.
+        calm: Ids of requests that arrived at a router without a recent fault.
     """
 
     def __init__(self, *, world: CrashWorld) -> None:
@@ -76,7 +76,7 @@
     async def call(
         self, path: str, *, body: bytes = b"", router: int | None = None
     ) -> Answer:
-        """Send a request as a caller does, to any router unless one is named."""
+        """Send a request to the given router, or to a random one."""
         running = [host for host in self._world.hosts if host.takes_callers]
         host = (
             self._dice.choice(running) if router is None else self._world.hosts[router]
@@ -85,7 +85,7 @@
         request_id = b"request-%d" % next(self._numbers)
         if self._world.is_calm(host):
             self.calm.add(request_id)
-        heard: list[dict[str, Any]] = []
+        messages: list[dict[str, Any]] = []
         incoming = iter([{"type": "http.request", "body": body, "more_body": False}])
 
         async def _receive() -> dict[str, Any]:
@@ -96,14 +96,14 @@
             return message
 
         async def _send(message: Mapping[str, Any]) -> None:
-            heard.append(dict(message))
+            messages.append(dict(message))
 
         try:
             with anyio.move_on_after(CALL_TIMEOUT_SECONDS):
                 await host.parts.app(self._scope(path, request_id), _receive, _send)
-        except Exception:  # The server cuts the connection of an answer that broke.
+        except Exception:  # The server closes the connection of a broken answer.
             return Answer(status=0, whole=False, retry_after=None)
-        return _read(heard)
+        return _read(messages)
 
     def _scope(self, path: str, request_id: bytes) -> dict[str, Any]:
         headers = {
@@ -121,10 +121,10 @@
         }
 
     async def send_others(self, *, rate: float, seconds: float) -> None:
-        """Send requests of other callers as they come."""
-        until = anyio.current_time() + seconds
+        """Send requests of other callers at random intervals."""
+        end_at = anyio.current_time() + seconds
         paths = ("/stream/again/x", "/stream/x", "/safe/x")
-        while anyio.current_time() < until:
+        while anyio.current_time() < end_at:
             await anyio.sleep(self._dice.expovariate(rate))
             path = self._dice.choices(paths, (5, 3, 2))[0]
             self._world.tasks.start_soon(
@@ -132,7 +132,7 @@
             )
 
     async def _send_one_other(self, path: str) -> None:
-        """Send a request, and once more if it may be repeated and has failed."""
+        """Send a request, and retry it once if it failed and allows a retry."""
         self.others.sent += 1
         for _ in range(2):
             answer = await self.call(path)
@@ -148,9 +148,9 @@
     async def send_culprit(
         self, *, pause: float, seconds: float, path: str = "/stream/again/"
     ) -> None:
-        """Send a culprit again and again, whatever became of it before."""
-        until = anyio.current_time() + seconds
-        while anyio.current_time() < until:
+        """Send a culprit repeatedly, regardless of earlier answers."""
+        end_at = anyio.current_time() + seconds
+        while anyio.current_time() < end_at:
             self._world.tasks.start_soon(self._send_one_culprit, path + CULPRIT)
             await anyio.sleep(pause)
 
@@ -159,16 +159,16 @@
         self.statuses[answer.status] += 1
 
 
-def _read(heard: list[dict[str, Any]]) -> Answer:
+def _read(messages: list[dict[str, Any]]) -> Answer:
     start = next(
-        (each for each in heard if each["type"] == "http.response.start"), None
+        (each for each in messages if each["type"] == "http.response.start"), None
     )
     if start is None:
         return Answer(status=0, whole=False, retry_after=None)
     headers = {name.lower(): value for name, value in start["headers"]}
     ended = any(
         each["type"] == "http.response.body" and not each.get("more_body", False)
-        for each in heard
+        for each in messages
     )
     wait = headers.get(b"retry-after")
     return Answer(
--- a/dotterelpaddle/tests/forwarding/crash_world.py
+++ b/dotterelpaddle/tests/forwarding/crash_world.py
@@ -1,9 +1,9 @@
-"""A small fleet whose endpoints end under one request, in virtual time and in memory.
+"""A small fleet in which one request crashes endpoints, in memory and virtual time.
 
-Routers are the real ones, from a caller's request to the connection to an endpoint and
-the reports between them. Endpoints are stand-ins that work on a few requests at a time,
-end, and start again at the same address under another name. The store is slow to tell:
-an entry outlives its endpoint by seconds, as heartbeats that stop do not show at once.
+The routers run the real code, from a caller's request to the connection to an endpoint,
+including the reports between them. Endpoints are stand-ins with a few slots; they crash
+and restart at the same address under another name. Updates of the store are delayed: an
+entry outlives its endpoint by seconds, until missing heartbeats are detected.
 """
 
 from __future__ import annotations
@@ -48,41 +48,41 @@
     from dotterelpaddle.ids import RouterId
 
 CULPRIT = "culprit"
-"""How the path of a request ends under which endpoints end."""
+"""Suffix of the path of a request that crashes endpoints."""
 
 SLOT_COUNT = 8
 EVENT_COUNT, EVENT_INTERVAL_SECONDS = 5, 0.1
-"""Events of a stream, and seconds between two of them."""
+"""Events of a stream, and the seconds between two of them."""
 
 CRASH_DELAY_SECONDS = 0.06
-"""Seconds from the begin of a run until its endpoint has ended under it."""
+"""Seconds from the start of a culprit until its endpoint crashes."""
 
 DOWN_SECONDS = (2.8, 5.0)
-"""Seconds until an endpoint that has ended has started again, at least and at most."""
+"""Minimum and maximum seconds until a crashed endpoint has restarted."""
 
 REMOVAL_DELAY_SECONDS = 3.6
-"""Seconds until routers hear that the entry of an endpoint that ended is gone."""
+"""Seconds until routers see that the entry of a crashed endpoint is removed."""
 
 START_DELAY_SECONDS = (0.1, 0.9)
-"""Seconds until routers hear of a start."""
+"""Minimum and maximum seconds until routers see a change of an entry."""
 
 MIN_STABLE_SECONDS = 3.0
-"""Seconds without trouble after which a router must know what the others do."""
+"""Seconds without a fault after which all routers must have the same information."""
 
 PACKET_DELAY_SECONDS = 0.001
 DISCOVERY_SECONDS = 2.0
-"""Seconds until all routers know each other after a start of the fleet."""
+"""Seconds from the start of the fleet until all routers know each other."""
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class Arrival:
-    """The culprit as it reached an endpoint that did not turn it away.
+    """A culprit that an endpoint accepted.
 
     Attributes:
-        at: When, on the loop's clock.
-        endpoint: The endpoint's name.
-        target: Its path.
-        request_id: The id of this try.
+        at: Time of arrival on the clock of the event loop.
+        endpoint: Name of the endpoint.
+        target: Path of the culprit.
+        request_id: Request id of this attempt.
     """
 
     at: float
@@ -92,7 +92,7 @@
 
 
 class Engine(RunnerStandin):
-    """An endpoint that works on some requests at a time, and ends under the culprit."""
+    """An endpoint with a number of slots that crashes when it runs a culprit."""
 
     def __init__(self, *, name: str, address: Address, world: CrashWorld) -> None:
         super().__init__(name=name, events=EVENT_COUNT, pause=EVENT_INTERVAL_SECONDS)
@@ -126,9 +126,9 @@
     """Routers, endpoints and callers.
 
     Args:
-        routers: How many routers.
-        engines: How many endpoints.
-        seed: Of all that is drawn.
+        routers: Number of routers.
+        engines: Number of endpoints.
+        seed: Seed of the random choices.
     """
 
     routers: int = 9
@@ -161,13 +161,13 @@
 
     @property
     def live(self) -> list[Engine]:
-        """Endpoints that run."""
+        """Running endpoints."""
         return list(self._live.values())
 
     def culprits_later_than(self, *, seconds: float) -> int:
-        """Count sends of a culprit some seconds after the third end under it.
+        """Count arrivals of a culprit later than some seconds after its third crash.
 
-        The greatest count, if there are several culprits.
+        With several culprits, return the greatest count.
         """
         return max(
             (self._later_than(target, seconds) for target in self.ended if target),
@@ -186,7 +186,7 @@
     # Endpoints.
 
     def record_arrival(self, *, engine: Engine, request: Received) -> None:
-        """Note that a culprit has reached an endpoint."""
+        """Record that a culprit reached an endpoint."""
         self.arrivals.append(
             Arrival(
                 at=anyio.current_time(),
@@ -197,7 +197,7 @@
         )
 
     def start_engine(self, *, address: Address, domain: FailureDomain) -> Engine:
-        """Start an endpoint and let it register."""
+        """Start an endpoint and register it."""
         name = f"engine-{next(self._numbers)}"
         engine = Engine(name=name, address=address, world=self)
         self._live[name] = engine
@@ -210,7 +210,7 @@
         return engine
 
     def end_engine(self, *, engine: Engine, under: str = "") -> None:
-        """End an endpoint, alone or under a culprit; it starts again after a while."""
+        """Crash an endpoint, with or without a culprit, and schedule its restart."""
         if engine.name not in self._live:
             return
         del self._live[engine.name]
@@ -235,7 +235,7 @@
     # Routers.
 
     async def run_host(self, host: Router) -> None:
-        """Run a router's processes, one after the other."""
+        """Run the processes of a router, one after the other."""
         while True:
             await self._run_process(host)
             host.parts, host.datagrams = None, None
@@ -279,19 +279,19 @@
             await target.datagrams.deliver(datagram=datagram, sender=sender.address)
 
     def is_calm(self, host: Router) -> bool:
-        """Tell whether a router has run and been reached by others for a while."""
+        """Return whether a router had no recent start, stop or change of partition."""
         now = anyio.current_time()
         calm_since = max(self._started_at.get(host.name, now), self._cut_changed_at)
         stopping = now >= host.stopping_since
         return now - calm_since >= MIN_STABLE_SECONDS and not stopping
 
     def cut(self, *, hosts: frozenset[Router]) -> None:
-        """Cut some routers off from the others; heal the cut if there are none."""
+        """Partition some routers from the others; no hosts heal the partition."""
         self.cut_off = hosts
         self._cut_changed_at = anyio.current_time()
 
     def reaches(self, sender: Router, target: Router) -> bool:
-        """Tell whether packets pass between two routers."""
+        """Return whether packets pass between two routers."""
         return (sender in self.cut_off) == (target in self.cut_off)
 
     def _update_all(
@@ -353,7 +353,7 @@
     world: CrashWorld,
     script: Callable[[CrashWorld], Coroutine[Any, Any, None]],
 ) -> None:
-    """Start a fleet, and let a script do what befalls it."""
+    """Start a fleet and run a script of faults and requests."""
     with world.network.installed():
         async with anyio.create_task_group() as tasks:
             world.tasks = world.network.tasks = tasks
--- a/dotterelpaddle/tests/forwarding/test_cost.py
+++ b/dotterelpaddle/tests/forwarding/test_cost.py
@@ -21,17 +21,17 @@
 QUEUE = 20 * PROMPT
 
 
-def _cost(*, lacks: int = 0, queued: float = 0.0, load: int = 20) -> float:
-    work = PromptWork(missing_tokens=lacks, fetchable_tokens=0, unique_tokens=500)
+def _cost(*, missing: int = 0, queued: float = 0.0, load: int = 20) -> float:
+    work = PromptWork(missing_tokens=missing, fetchable_tokens=0, unique_tokens=500)
     return prompt_cost(work=work, queued_tokens=queued, load=load, failure_load=0.0)
 
 
 def test_cached_prompt_avoids_an_engine_with_a_long_queue() -> None:
-    assert _cost(lacks=PROMPT) < _cost(queued=QUEUE)
+    assert _cost(missing=PROMPT) < _cost(queued=QUEUE)
 
 
 def test_uncached_prompt_goes_to_the_shorter_queue() -> None:
-    assert _cost(lacks=PROMPT, queued=QUEUE / 4) < _cost(lacks=PROMPT, queued=QUEUE)
+    assert _cost(missing=PROMPT, queued=QUEUE / 4) < _cost(missing=PROMPT, queued=QUEUE)
 
 
 @pytest.mark.parametrize("queued", [0.0, PROMPT, MAX_FREE_QUEUE_TOKENS])
--- a/dotterelpaddle/tests/forwarding/test_crash_incident.py
+++ b/dotterelpaddle/tests/forwarding/test_crash_incident.py
@@ -1,15 +1,14 @@
-"""Requests that crash endpoints: five engines, and a request that ends each of them.
+"""A request that crashes every engine which runs it.
 
-What was seen: one caller's request ended 16 to 21 engines of a service that has five at
-a time, at nine routers, and most streams of all other callers broke with them.
+Guards against this incident: one caller's request crashed 16 to 21 engines of a
+service with five at a time, behind nine routers, and broke most streams of other
+callers. Routers kept no record of a request beyond its own attempts, so each retry of
+the caller, with a new id at any router, started afresh. A router also resumed a broken
+stream at once at the next engine, which crashed as well.
 
-How it came about: nothing remembered a request beyond its own attempt. The caller's
-next one had another id, reached any router, and started from nothing; and a router sent
-a resumable stream on at once when its engine broke off, to the next one that ended.
-
-The load is that of the incident: 34 requests a second, half of them streams that may go
-on elsewhere, and the one request again and again. Users count how often it reaches
-endpoints later than three seconds after the third end under it, and allow three times.
+The load is that of the incident: 34 requests per second, half of them resumable
+streams, and the one request repeatedly. The request may reach endpoints at most three
+times later than three seconds after the third crash.
 """
 
 from __future__ import annotations
@@ -28,28 +27,28 @@
 )
 from dotterelpaddle.tests.virtual_time import run_in_virtual_time
 
-ALLOWED = 3
-"""Times that the request may reach endpoints later than that."""
+MAX_LATE_ARRIVALS = 3
+"""Maximum number of such late arrivals."""
 
-RATE = 34.0
-"""Requests of other callers a second."""
+REQUESTS_PER_SECOND = 34.0
+"""Requests of other callers per second."""
 
-SECONDS = 30.0
+DURATION_SECONDS = 30.0
 
 
-CUT_TIME = 8.0
-"""Seconds for which some routers are cut off from the others."""
+PARTITION_SECONDS = 8.0
+"""Seconds for which some routers are partitioned from the others."""
 
-CUT_ENDS = DISCOVERY_SECONDS + CUT_TIME
+PARTITION_END_SECONDS = DISCOVERY_SECONDS + PARTITION_SECONDS
 
 
 async def _comes_again(
     world: CrashWorld, callers: Callers, *, pause: float, path: str = "/stream/again/"
 ) -> None:
     world.tasks.start_soon(
-        partial(callers.send_culprit, pause=pause, seconds=SECONDS, path=path)
+        partial(callers.send_culprit, pause=pause, seconds=DURATION_SECONDS, path=path)
     )
-    await callers.send_others(rate=RATE, seconds=SECONDS)
+    await callers.send_others(rate=REQUESTS_PER_SECOND, seconds=DURATION_SECONDS)
     await anyio.sleep(CALL_TIMEOUT_SECONDS)
 
 
@@ -65,35 +64,33 @@
 
 
 @pytest.mark.parametrize(("seed", "pause"), [(1, 0.25), (2, 1.0)])
-def test_request_that_crashes_endpoints_soon_gets_to_none(
-    seed: int, pause: float
-) -> None:
-    """Guards against one request that ends all endpoints of a service in turn."""
+def test_request_that_crashes_endpoints_is_blocked(seed: int, pause: float) -> None:
+    """Guards against one request that crashes all endpoints of a service."""
     world, _ = _play(partial(_comes_again, pause=pause), seed=seed)
 
-    assert world.culprits_later_than(seconds=MIN_STABLE_SECONDS) <= ALLOWED
+    assert world.culprits_later_than(seconds=MIN_STABLE_SECONDS) <= MAX_LATE_ARRIVALS
 
 
 @pytest.mark.parametrize("path", ["/safe/", "/unsafe/", "/stream/"])
-def test_request_of_any_kind_that_crashes_endpoints_soon_gets_to_none(
+def test_request_of_any_kind_that_crashes_endpoints_is_blocked(
     path: str,
 ) -> None:
-    """Guards against blame that only streams which may go on elsewhere can get."""
+    """Guards against blocking only resumable streams."""
     world, _ = _play(partial(_comes_again, pause=0.5, path=path), seed=3)
 
-    assert world.culprits_later_than(seconds=MIN_STABLE_SECONDS) <= ALLOWED
+    assert world.culprits_later_than(seconds=MIN_STABLE_SECONDS) <= MAX_LATE_ARRIVALS
 
 
-def test_large_fleet_learns_through_aggregators() -> None:
-    """Guards against news that only a fleet in which all report to all spreads."""
+def test_large_fleet_receives_notes_through_aggregators() -> None:
+    """Guards against notes that spread only if all routers report to all others."""
     script = partial(_comes_again, pause=0.25)
     world, _ = _play(script, seed=4, routers=30, engines=12)
 
-    assert world.culprits_later_than(seconds=MIN_STABLE_SECONDS) <= ALLOWED
+    assert world.culprits_later_than(seconds=MIN_STABLE_SECONDS) <= MAX_LATE_ARRIVALS
 
 
-def test_routers_that_saw_the_ends_may_stop() -> None:
-    """Guards against knowledge that ends with the routers that gained it."""
+def test_routers_that_saw_the_crashes_may_stop() -> None:
+    """Guards against losing the record of crashes with the routers that saw them."""
 
     async def _routers_stop(world: CrashWorld, callers: Callers) -> None:
         world.tasks.start_soon(_stop_in_turn, world)
@@ -101,11 +98,11 @@
 
     world, _ = _play(_routers_stop, seed=5)
 
-    assert world.culprits_later_than(seconds=MIN_STABLE_SECONDS) <= ALLOWED
+    assert world.culprits_later_than(seconds=MIN_STABLE_SECONDS) <= MAX_LATE_ARRIVALS
 
 
-def test_sides_of_a_cut_agree_after_it() -> None:
-    """Guards against a request that goes on where the ends were not seen."""
+def test_sides_of_a_partition_agree_after_it() -> None:
+    """Guards against a request that continues where routers saw no crash."""
 
     async def _cut(world: CrashWorld, callers: Callers) -> None:
         world.cut(hosts=frozenset(world.hosts[:3]))
@@ -114,28 +111,32 @@
 
     world, _ = _play(_cut, seed=6)
 
-    late = [each for each in world.arrivals if each.at > CUT_ENDS + MIN_STABLE_SECONDS]
-    assert len(late) <= ALLOWED
+    late = [
+        each
+        for each in world.arrivals
+        if each.at > PARTITION_END_SECONDS + MIN_STABLE_SECONDS
+    ]
+    assert len(late) <= MAX_LATE_ARRIVALS
 
 
 @pytest.mark.parametrize("seed", [1, 2, 3])
-def test_nobody_is_blocked_while_endpoints_crash_by_themselves(seed: int) -> None:
-    """Guards against blame for requests that were there when an endpoint crashed."""
+def test_no_request_is_blocked_during_unrelated_crashes(seed: int) -> None:
+    """Guards against blocking requests that only ran during unrelated crashes."""
 
     async def _crashes(world: CrashWorld, callers: Callers) -> None:
         world.tasks.start_soon(_crash_in_series, world)
-        await callers.send_others(rate=RATE, seconds=20.0)
+        await callers.send_others(rate=REQUESTS_PER_SECOND, seconds=20.0)
         await anyio.sleep(CALL_TIMEOUT_SECONDS)
 
     world, _ = _play(_crashes, seed=seed, engines=9, routers=3)
 
-    books = [host.parts.state.crashes for host in world.hosts if host.parts]
-    assert [book.blocked_count for book in books] == [0, 0, 0]
+    trackers = [host.parts.state.crashes for host in world.hosts if host.parts]
+    assert [tracker.blocked_count for tracker in trackers] == [0, 0, 0]
 
 
-def test_nobody_is_refused_while_no_request_crashes_endpoints() -> None:
+def test_no_request_is_refused_without_crashes() -> None:
     async def _calm(world: CrashWorld, callers: Callers) -> None:
-        await callers.send_others(rate=RATE, seconds=10.0)
+        await callers.send_others(rate=REQUESTS_PER_SECOND, seconds=10.0)
         await anyio.sleep(CALL_TIMEOUT_SECONDS)
 
     _, callers = _play(_calm)
@@ -152,12 +153,12 @@
 
 
 async def _heal(world: CrashWorld) -> None:
-    await anyio.sleep(CUT_TIME)
+    await anyio.sleep(PARTITION_SECONDS)
     world.cut(hosts=frozenset())
 
 
 async def _crash_in_series(world: CrashWorld) -> None:
-    """Let 25 endpoints crash within 20 seconds, and one live at least."""
+    """Crash 25 endpoints within 20 seconds, always leaving one running."""
     for _ in range(25):
         await anyio.sleep(world.dice.expovariate(25 / 20.0))
         if len(world.live) > 1:
--- a/dotterelpaddle/tests/forwarding/test_crash_soak.py
+++ b/dotterelpaddle/tests/forwarding/test_crash_soak.py
@@ -1,8 +1,8 @@
-"""Requests that crash endpoints amid all other trouble, drawn anew for each seed.
+"""Requests that crash endpoints during other random faults.
 
-Endpoints crash by themselves as well, routers stop in series, some are cut off from the
-others, and all of that overlaps. Two seeds run each time; more of them by hand with the
-variable CRASH_SEEDS, which holds the first one and how many, as "1 50".
+Unrelated crashes of endpoints, restarts of routers and partitions overlap. Each run
+uses two seeds. The environment variable CRASH_SEEDS sets the first seed and the number
+of seeds, such as "1 50".
 """
 
 from __future__ import annotations
@@ -22,18 +22,20 @@
 )
 from dotterelpaddle.tests.virtual_time import run_in_virtual_time
 
-FIRST, COUNT = (int(each) for each in os.environ.get("CRASH_SEEDS", "1 2").split())
-ALLOWED = 3
-"""Times that a request may reach endpoints through calm routers, later than STABLE_TIME
-after the third end under it."""
+FIRST_SEED, SEED_COUNT = (
+    int(each) for each in os.environ.get("CRASH_SEEDS", "1 2").split()
+)
+MAX_LATE_ARRIVALS = 3
+"""Maximum arrivals of a request at endpoints through routers without a recent fault,
+later than MIN_STABLE_SECONDS after its third crash."""
 
 KINDS = ("/stream/again/", "/stream/", "/safe/", "/unsafe/")
-SECONDS = 30.0
-RATE = 25.0
+DURATION_SECONDS = 30.0
+REQUESTS_PER_SECOND = 25.0
 
 
-@pytest.mark.parametrize("seed", range(FIRST, FIRST + COUNT))
-def test_request_that_crashes_endpoints_gets_to_none_amid_other_trouble(
+@pytest.mark.parametrize("seed", range(FIRST_SEED, FIRST_SEED + SEED_COUNT))
+def test_request_that_crashes_endpoints_is_blocked_during_other_faults(
     seed: int,
 ) -> None:
     world = CrashWorld(
@@ -41,11 +43,11 @@
     )
     callers = Callers(world=world)
     run_in_virtual_time(
-        partial(run_world, world=world, script=partial(_trouble, callers=callers))
+        partial(run_world, world=world, script=partial(_run_faults, callers=callers))
     )
 
     for target, ends in world.ended.items():
-        if target and len(ends) >= ALLOWED:
+        if target and len(ends) >= MAX_LATE_ARRIVALS:
             late = [
                 each
                 for each in world.arrivals
@@ -53,47 +55,49 @@
                 and each.at > ends[2] + MIN_STABLE_SECONDS
                 and each.request_id in callers.calm
             ]
-            assert len(late) <= ALLOWED
+            assert len(late) <= MAX_LATE_ARRIVALS
 
 
-async def _trouble(world: CrashWorld, callers: Callers) -> None:
-    dice = random.Random(-world.seed)
-    for kind in dice.sample(KINDS, dice.choice((1, 1, 2))):
+async def _run_faults(world: CrashWorld, callers: Callers) -> None:
+    generator = random.Random(-world.seed)
+    for kind in generator.sample(KINDS, generator.choice((1, 1, 2))):
         culprit = partial(
             callers.send_culprit,
-            pause=dice.choice((0.2, 0.5, 1.5)),
-            seconds=SECONDS,
+            pause=generator.choice((0.2, 0.5, 1.5)),
+            seconds=DURATION_SECONDS,
             path=kind,
         )
         world.tasks.start_soon(culprit)
-    for trouble in dice.sample((_crashes, _stops, _cuts), dice.choice((1, 2, 3))):
-        world.tasks.start_soon(trouble, world, random.Random(dice.random()))
-    await callers.send_others(rate=RATE, seconds=SECONDS)
+    for fault in generator.sample(
+        (_crashes, _restarts, _partitions), generator.choice((1, 2, 3))
+    ):
+        world.tasks.start_soon(fault, world, random.Random(generator.random()))
+    await callers.send_others(rate=REQUESTS_PER_SECOND, seconds=DURATION_SECONDS)
     await anyio.sleep(CALL_TIMEOUT_SECONDS)
 
 
-async def _crashes(world: CrashWorld, dice: random.Random) -> None:
-    """Endpoints crash by themselves, one at least goes on."""
-    for _ in range(dice.randrange(3, 12)):
-        await anyio.sleep(dice.uniform(0.5, 4.0))
+async def _crashes(world: CrashWorld, generator: random.Random) -> None:
+    """Crash endpoints at random, always leaving one running."""
+    for _ in range(generator.randrange(3, 12)):
+        await anyio.sleep(generator.uniform(0.5, 4.0))
         if len(world.live) > 1:
-            world.end_engine(engine=dice.choice(world.live))
+            world.end_engine(engine=generator.choice(world.live))
 
 
-async def _stops(world: CrashWorld, dice: random.Random) -> None:
-    """Routers stop in turn and start again, one at least goes on."""
-    for host in dice.sample(world.hosts, len(world.hosts) - 1):
-        await anyio.sleep(dice.uniform(0.2, 3.0))
+async def _restarts(world: CrashWorld, generator: random.Random) -> None:
+    """Restart routers in turn, always leaving one running."""
+    for host in generator.sample(world.hosts, len(world.hosts) - 1):
+        await anyio.sleep(generator.uniform(0.2, 3.0))
         if sum(each.takes_callers for each in world.hosts) > 1:
             host.stopping_since = anyio.current_time()
             host.stopping.set()
 
 
-async def _cuts(world: CrashWorld, dice: random.Random) -> None:
-    """Some routers are cut off from the others, again and again."""
+async def _partitions(world: CrashWorld, generator: random.Random) -> None:
+    """Partition some routers from the others repeatedly."""
     for _ in range(3):
-        await anyio.sleep(dice.uniform(1.0, 5.0))
-        count = dice.randrange(1, max(2, len(world.hosts) // 2))
-        world.cut(hosts=frozenset(dice.sample(world.hosts, count)))
-        await anyio.sleep(dice.uniform(1.0, 5.0))
+        await anyio.sleep(generator.uniform(1.0, 5.0))
+        count = generator.randrange(1, max(2, len(world.hosts) // 2))
+        world.cut(hosts=frozenset(generator.sample(world.hosts, count)))
+        await anyio.sleep(generator.uniform(1.0, 5.0))
         world.cut(hosts=frozenset())
