--- a/dotterelpaddle/forwarding/app.py
+++ b/dotterelpaddle/forwarding/app.py
@@ -1,4 +1,4 @@
-"""The ASGI application for callers whose requests are forwarded."""
+"""ASGI application that forwards callers' requests to endpoints."""
 
 from __future__ import annotations
 
@@ -36,25 +36,25 @@
 log = get_logger(name=__name__)
 
 UNROUTED_DEADLINE_SECONDS = 3600.0
-"""Seconds until the deadline of a request whose route is not known yet."""
+"""Deadline of a request before its route, and so its timeout, is known."""
 
 DEFAULT_MAX_BODY_BYTES = 4 * 1024 * 1024
-"""Longest body while no configuration says otherwise."""
+"""Limit on a request body until the router has a configuration."""
 
 BAD_GATEWAY_STATUS = 502
 UNAVAILABLE_STATUS = 503
 GATEWAY_ERROR_STATUSES = frozenset({502, 504})
-"""Statuses that say nothing of whether a request has run."""
+"""Statuses that leave open whether an endpoint ran the request."""
 
 
 class ForwardApp:
-    """Serves callers; an ASGI application.
+    """ASGI application that serves callers.
 
     Args:
-        pipeline: The filters.
-        protocols: Decodes requests.
-        view: The configuration in force.
-        isolation: Whether other routers serve callers better.
+        pipeline: Filters that each request passes.
+        protocols: Decodes callers' requests.
+        view: Provides the active configuration.
+        isolation: Detects that other routers can serve callers better.
         metrics: Counts requests.
         clock: Monotonic clock.
     """
@@ -80,12 +80,12 @@
 
     @property
     def in_flight(self) -> int:
-        """Requests that have come in and not ended."""
+        """Number of requests received and not yet finished."""
         return self._in_flight
 
     @property
     def ready(self) -> bool:
-        """Whether the balancer should send callers here."""
+        """Whether the load balancer should send callers to this router."""
         return self._view.complete and not self._draining_or_isolated
 
     @property
@@ -94,19 +94,25 @@
 
     @property
     def _unready_seconds(self) -> float | None:
-        """Seconds since the balancer might have begun to send callers elsewhere."""
+        """Seconds since the load balancer could first see this router as not ready.
+
+        None while the router is neither without configuration nor isolated.
+        """
         if not self._view.complete:
             return self._view.age
         return self._isolation.isolated_for
 
     def start_draining(self) -> None:
-        """Report not ready and close connections after answers; still serve."""
+        """Report not ready and close each connection after its answer.
+
+        The router continues to serve the requests that it receives.
+        """
         self._draining = True
 
     async def __call__(
         self, scope: Mapping[str, Any], receive: Receive, send: Send
     ) -> None:
-        """Serve one request as ASGI asks."""
+        """Serve one request (ASGI entry point)."""
         received_at = self._clock()
         reply = ForwardReply(
             send=send,
@@ -148,18 +154,21 @@
     async def _run_pipeline(
         self, *, exchange: ForwardExchange, receive: Receive
     ) -> None:
-        """Run the filters; cancel them, and so the endpoint, if the caller goes."""
+        """Run the filters, and cancel them if the caller disconnects.
+
+        Cancellation closes the connection to the endpoint, which then stops work.
+        """
         failure: Exception | None = None
         async with anyio.create_task_group() as tasks:
 
-            async def _watch() -> None:
+            async def _cancel_on_disconnect() -> None:
                 while (await receive())["type"] != "http.disconnect":
                     pass
                 if not exchange.reply.finished:
                     exchange.caller_disconnected = True
                     tasks.cancel_scope.cancel()
 
-            tasks.start_soon(_watch)
+            tasks.start_soon(_cancel_on_disconnect)
             try:
                 await self._pipeline(exchange)
             except Exception as error:
@@ -180,11 +189,13 @@
         while True:
             message = await receive()
             if message["type"] == "http.disconnect":
-                raise CallerGone("the connection closed before the body's end")
+                raise CallerGone("the caller disconnected before the end of the body")
             part = message.get("body", b"")
             size += len(part)
             if size > limit:
-                raise BodyTooLarge(f"the body is over the limit of {limit} bytes")
+                raise BodyTooLarge(
+                    f"the request body exceeds the limit of {limit} bytes"
+                )
             parts.append(part)
             if not message.get("more_body", False):
                 return b"".join(parts)
@@ -192,11 +203,11 @@
     async def _send_error(
         self, *, exchange: ForwardExchange, error: RequestError
     ) -> None:
-        """Tell the caller an error.
+        """Send an error to the caller.
 
         Raises:
-            ReplyCut: If an answer has begun; the server then cuts the
-                connection, by which the caller sees that it is not whole.
+            ReplyCut: If an answer has started. The server then closes the
+                connection, which shows the caller that the answer is incomplete.
         """
         exchange.error = error
         reply = exchange.reply
@@ -223,11 +234,13 @@
         return headers
 
     def _time_left(self, *, exchange: ForwardExchange) -> float:
-        """Seconds that a caller waits, also where its route is not known."""
-        passed = self._clock() - exchange.received_at
-        patience = exchange.request.time_left
-        own = exchange.deadline - exchange.received_at
-        return (own if patience is None else min(own, patience)) - passed
+        """Return the seconds that the caller still waits, with or without a route."""
+        elapsed = self._clock() - exchange.received_at
+        caller_limit = exchange.request.time_left
+        route_limit = exchange.deadline - exchange.received_at
+        return (
+            route_limit if caller_limit is None else min(route_limit, caller_limit)
+        ) - elapsed
 
     def _log_end(self, *, exchange: ForwardExchange) -> None:
         error, route, reply = exchange.error, exchange.route, exchange.reply
@@ -264,14 +277,15 @@
 
 
 def _status(*, exchange: ForwardExchange, error: RequestError) -> int:
-    """Return the status that tells the truth about whether the request has run.
+    """Return a status that does not misstate whether the request has run.
 
-    Callers may repeat what they are told has not run, whatever it is.
+    Callers may retry any request, also one that must not run twice, once its status
+    states that it has not run.
     """
-    not_run = exchange.attempts.proves_not_run
-    if error.status in NOT_EXECUTED_STATUSES and not not_run:
+    proven_not_run = exchange.attempts.proves_not_run
+    if error.status in NOT_EXECUTED_STATUSES and not proven_not_run:
         return BAD_GATEWAY_STATUS
-    if error.status in GATEWAY_ERROR_STATUSES and not_run:
+    if error.status in GATEWAY_ERROR_STATUSES and proven_not_run:
         return UNAVAILABLE_STATUS
     return error.status
 
