--- a/dotterelpaddle/forwarding/attempts.py
+++ b/dotterelpaddle/forwarding/attempts.py
@@ -1,8 +1,8 @@
-"""Sends attempts at one request until one succeeds or none may follow.
+"""Sends attempts for one request until one succeeds or no retry is allowed.
 
-What may be repeated follows from the kind of the route. A request that must
-not run twice goes on to another endpoint only on proof that it has not run:
-nothing of it was sent, or the endpoint promised not to run it.
+The kind of the route decides whether the router may retry. It sends a request that
+must not run twice to another endpoint only with proof that the request has not run:
+the router sent no byte of it, or the endpoint stated that it did not run it.
 """
 
 from __future__ import annotations
@@ -49,29 +49,31 @@
 log = get_logger(name=__name__)
 
 MIN_TIME_LEFT_SECONDS = 0.02
-"""Seconds below which nothing is sent any more; no endpoint answers faster."""
+"""Minimum time left to send an attempt; no endpoint answers faster."""
 
 MAX_UNREACHABLE_ATTEMPTS = 4
-"""Endpoints that are tried in vain for a connection, which costs them nothing."""
+"""Maximum failed connects per request; a failed connect costs endpoints nothing."""
 
 MAX_REFUSED_ATTEMPTS = 2
-"""Endpoints that may refuse a request before its caller is told to come back;
-each refusal costs all routers a repeat."""
+"""Maximum refusals per request, after which the caller has to retry later.
+
+Each refusal uses up one retry of the budget that all routers share.
+"""
 
 
 class AttemptRunner:
-    """Places and sends attempts.
+    """Selects endpoints for a request and sends attempts to them.
 
     Args:
         placer: Chooses endpoints.
-        residency: Tells which endpoints a request must not reach.
+        residency: Determines the endpoints that must not receive a request.
         loads: Requests in flight.
-        health: Results of requests.
-        reachability: Where no connection can be made.
-        caches: Where parts of prompts are.
-        guard: Keeps requests that crash endpoints from the next ones.
-        repeats: What repeats may cost.
-        waits: What was learnt of answers' progress.
+        health: Records the results of requests.
+        reachability: Records endpoints that refuse connections or time out.
+        caches: Locations of cached prompt parts.
+        guard: Blocks requests that crash endpoints.
+        repeats: Limits retries.
+        waits: Estimates the timeouts of an attempt from earlier answers.
         metrics: Counts attempts.
         clock: Monotonic clock.
     """
@@ -98,16 +100,20 @@
         self._reachability = reachability
         self._caches = caches
         self._guard = guard
-        self._repeats = repeats
-        self._waits = waits
+        self._retry_budget = repeats
+        self._timeouts = waits
         self._metrics = metrics
         self._clock = clock
 
     async def run(self, *, exchange: ForwardExchange, relay: Relay) -> AttemptResult:
-        """Send attempts until one brings an answer.
+        """Send attempts until an endpoint answers.
+
+        Args:
+            exchange: The request.
+            relay: Sends one attempt and passes on its answer.
 
         Raises:
-            RequestError: If none did and none may follow.
+            RequestError: If every attempt failed and no retry is allowed.
         """
         if exchange.request.prompt:
             await self._caches.wait_until_populated()
@@ -128,8 +134,10 @@
                     exchange=exchange,
                     relay=relay,
                     choice=choice,
-                    fresh=isinstance(failure, IdleConnectionLost),
-                    connect_time=tried.connect_timeout(endpoint=choice.entry.endpoint),
+                    new_connection=isinstance(failure, IdleConnectionLost),
+                    connect_timeout=tried.connect_timeout(
+                        endpoint=choice.entry.endpoint
+                    ),
                 )
             except EndpointError as error:
                 failure = error
@@ -145,7 +153,8 @@
         except NoEndpoint:
             if not tried.connect_timeouts:
                 raise
-        # Nothing was sent to those: they may be slow rather than cut off.
+        # No request reached the endpoints whose connect timed out. They may be slow
+        # rather than unreachable, so the router tries each of them once more.
         return await self._place(exchange=exchange, excluded=tried.attempted)
 
     async def _place(
@@ -166,8 +175,8 @@
         exchange: ForwardExchange,
         relay: Relay,
         choice: Choice,
-        fresh: bool,
-        connect_time: float,
+        new_connection: bool,
+        connect_timeout: float,
     ) -> AttemptResult:
         route = exchange.route
         assert route is not None
@@ -177,23 +186,23 @@
         attempt = exchange.attempts.begin(idempotent=route.retryable)
         exchange.last_endpoint = entry.endpoint
         progress = AttemptProgress(attempt=attempt, clock=self._clock)
-        watched = self._guard.watch(
+        crash_watch = self._guard.watch(
             exchange=exchange, relay=relay, entry=entry, progress=progress
         )
-        hold = self._loads.track(
+        tracking = self._loads.track(
             endpoint=entry.endpoint, work_tokens=choice.work_tokens
         )
         try:
-            with watched, hold as held:
-                progress.held = held
+            with crash_watch, tracking as in_flight:
+                progress.held = in_flight
                 result = await relay.send(
                     call=self._call(
                         exchange=exchange,
                         relay=relay,
                         choice=choice,
                         progress=progress,
-                        fresh=fresh,
-                        connect_time=connect_time,
+                        new_connection=new_connection,
+                        connect_timeout=connect_timeout,
                     )
                 )
         except EndpointError as error:
@@ -207,7 +216,7 @@
             endpoint=entry.endpoint, started_at=progress.started_at
         )
         if progress.first_byte_seconds is not None:
-            self._waits.record_answer_start(
+            self._timeouts.record_answer_start(
                 route=route, seconds=progress.first_byte_seconds
             )
             self._metrics.observe_first_byte(
@@ -222,17 +231,17 @@
         relay: Relay,
         choice: Choice,
         progress: AttemptProgress,
-        fresh: bool,
-        connect_time: float,
+        new_connection: bool,
+        connect_timeout: float,
     ) -> ForwardCall:
         route = exchange.route
         assert route is not None
         time_left = exchange.deadline - self._clock()
         if time_left < MIN_TIME_LEFT_SECONDS:
-            raise DeadlineExceeded("the deadline passed before it was sent")
-        rank = route.priority
+            raise DeadlineExceeded("the deadline passed before the request was sent")
+        priority = route.priority
         if exchange.account is not None and exchange.account.priority is not None:
-            rank = exchange.account.priority
+            priority = exchange.account.priority
         source = choice.fetch_from
         return ForwardCall(
             entry=choice.entry,
@@ -242,36 +251,36 @@
                 endpoint=choice.entry.name,
                 time_left=time_left,
                 account=exchange.account,
-                priority=rank,
+                priority=priority,
                 last_event_id=relay.last_event_id,
                 fetch_from=source.address if source is not None else None,
             ),
-            patience=self._waits.attempt_timeouts(
+            patience=self._timeouts.attempt_timeouts(
                 route=route,
                 time_left=time_left,
-                connect_timeout=connect_time,
+                connect_timeout=connect_timeout,
                 may_retry=self._may_retry_later(exchange=exchange),
                 missing_tokens=choice.missing_tokens,
             ),
-            new_connection=fresh or not route.retryable,
+            new_connection=new_connection or not route.retryable,
             observe=progress.observe,
         )
 
     def _may_retry_later(self, *, exchange: ForwardExchange) -> bool:
-        """Tell whether the next attempt may be given up for one more."""
+        """Tell whether a retry may follow the next attempt if that one times out."""
         route, service = exchange.route, exchange.service
         assert route is not None
         assert service is not None
         return (
             route.retryable
             and exchange.attempts.maybe_run + 1 < route.max_attempts
-            and self._repeats.has_room(service=service)
+            and self._retry_budget.has_room(service=service)
         )
 
     def _claim_retry(
         self, *, exchange: ForwardExchange, failure: EndpointError
     ) -> bool:
-        """Tell whether another attempt may follow, and count it if so."""
+        """Tell whether a retry may follow; if so, take it from the retry budget."""
         route, service, attempts = exchange.route, exchange.service, exchange.attempts
         assert route is not None
         assert service is not None
@@ -287,7 +296,7 @@
             return False
         if attempts.sent - attempts.maybe_run > MAX_REFUSED_ATTEMPTS:
             return False
-        return self._repeats.acquire(service=service)
+        return self._retry_budget.acquire(service=service)
 
     def _log_choice(self, *, exchange: ForwardExchange, choice: Choice) -> None:
         source = choice.fetch_from
@@ -336,7 +345,7 @@
                 self._health.record_error_answer(entry=entry)
             case EndpointSilent():
                 if progress.first_byte_seconds is None:
-                    self._waits.record_timeout(route=route)
+                    self._timeouts.record_timeout(route=route)
                 self._health.record_timeout(entry=entry)
             case _:
                 self._health.record_hard_failure(entry=entry, cause=error.message)
