--- a/dotterelpaddle/forwarding/caller_protocol.py
+++ b/dotterelpaddle/forwarding/caller_protocol.py
@@ -1,4 +1,4 @@
-"""Callers' connections, within the limits of the configuration in force."""
+"""Caller connections with the limits of the active configuration."""
 
 from __future__ import annotations
 
@@ -17,10 +17,10 @@
 log = get_logger(name=__name__)
 
 DEFAULT_IDLE_SECONDS = 15.0
-"""Seconds that a connection may stay idle while no configuration says otherwise.
+"""Idle timeout of a connection until the router has a configuration.
 
-Longer than uvicorn's five: a request that crosses the close of a connection costs
-its caller a retry.
+It exceeds uvicorn's five seconds, because a request that a caller sends while the
+router closes the connection costs the caller a retry.
 """
 
 HEADERS_TOO_LARGE_ANSWER = (
@@ -32,14 +32,14 @@
 def caller_protocol(
     *, limits: Callable[[], CallerLimits | None]
 ) -> type[asyncio.Protocol]:
-    """Make the class of callers' connections.
+    """Create the protocol class of caller connections.
 
     Args:
-        limits: Tells the limits in force, None while there are none.
+        limits: Returns the active limits, None without a configuration.
     """
 
     class CallerProtocol(HttpToolsProtocol):
-        """One connection: uvicorn's, with bounds on a request's head."""
+        """uvicorn's connection with limits on size and time of a request head."""
 
         def __init__(self, *args: Any, **kwargs: Any) -> None:
             super().__init__(*args, **kwargs)
@@ -47,56 +47,61 @@
             self._head_timer: asyncio.TimerHandle | None = None
 
         def connection_made(self, transport: asyncio.Transport) -> None:  # type: ignore[override]
-            """Start to serve; a caller that sends nothing is idle."""
+            """Start the idle timer, also for a caller that never sends a request."""
             super().connection_made(transport)
-            bounds = limits()
-            self.timeout_keep_alive = (  # type: ignore[assignment]
-                bounds.idle_timeout if bounds else DEFAULT_IDLE_SECONDS
+            active_limits = limits()
+            self.timeout_keep_alive = (
+                active_limits.idle_timeout  # type: ignore[assignment]
+                if active_limits
+                else DEFAULT_IDLE_SECONDS
             )
             self.timeout_keep_alive_task = self.loop.call_later(
                 self.timeout_keep_alive, self.timeout_keep_alive_handler
             )
 
         def data_received(self, data: bytes) -> None:
-            """Take in bytes, unless a head grows over its limit."""
-            bounds = limits()
-            if bounds is not None and self._reads_head:
+            """Process bytes; refuse a request head that exceeds its limits."""
+            active_limits = limits()
+            if active_limits is not None and self._reading_head:
                 self._head_bytes += len(data)
                 if self._head_timer is None:
                     self._head_timer = self.loop.call_later(
-                        bounds.header_timeout, self._give_up
+                        active_limits.header_timeout, self._close_slow_head
                     )
             super().data_received(data)
-            too_long = bounds is not None and self._head_bytes > bounds.max_header_bytes
-            if too_long and self._reads_head and not self.transport.is_closing():
+            too_long = (
+                active_limits is not None
+                and self._head_bytes > active_limits.max_header_bytes
+            )
+            if too_long and self._reading_head and not self.transport.is_closing():
                 log.warning("head_too_large", received=self._head_bytes)
                 self.transport.write(HEADERS_TOO_LARGE_ANSWER)
                 self.transport.close()
 
         def on_headers_complete(self) -> None:
-            """Go on to the body."""
-            self._end_head()
+            """Stop the timer of the head; the body follows."""
+            self._finish_head()
             super().on_headers_complete()
 
         def connection_lost(self, exc: Exception | None) -> None:
-            """Forget the connection."""
-            self._end_head()
+            """Cancel the timers of the connection."""
+            self._finish_head()
             self._unset_keepalive_if_required()
             super().connection_lost(exc)
 
         @property
-        def _reads_head(self) -> bool:
-            """Whether the next bytes belong to the head of a request."""
+        def _reading_head(self) -> bool:
+            """Whether the next bytes belong to a request head."""
             return self.cycle is None or self.cycle.response_complete
 
-        def _end_head(self) -> None:
+        def _finish_head(self) -> None:
             self._head_bytes = 0
             if self._head_timer is not None:
                 self._head_timer.cancel()
                 self._head_timer = None
 
-        def _give_up(self) -> None:
-            """Close a connection whose caller does not finish its head."""
+        def _close_slow_head(self) -> None:
+            """Close a connection whose caller sends the request head too slowly."""
             self._head_timer = None
             log.warning("head_too_slow", received=self._head_bytes)
             self.transport.close()
--- a/dotterelpaddle/forwarding/client.py
+++ b/dotterelpaddle/forwarding/client.py
@@ -1,4 +1,4 @@
-"""One HTTP exchange with a registered endpoint, with evidence of its progress."""
+"""HTTP client for registered endpoints that reports the progress of each request."""
 
 from __future__ import annotations
 
@@ -41,32 +41,32 @@
     from dotterelpaddle.network import LinkedBackend
 
 MAX_ANSWER_BYTES = 8 * 1024 * 1024
-"""Bytes of an answer that is read whole; the largest known take a few KB."""
+"""Limit on a buffered answer; the largest known ones take a few KB."""
 
 SLOW_RECHECK_SECONDS = 0.1
-"""Seconds after which it is looked again whether a slow endpoint lives."""
+"""Interval of checks whether a slow endpoint is still alive."""
 
 POOL_LIMITS = PoolLimits(max_open=96, max_idle=16, max_idle_age=3.0)
-"""Connections to one endpoint: a router's part of what endpoints accept.
+"""Limits on connections to one endpoint: a router's share of what endpoints accept.
 
-Idle ones are kept for three seconds, because endpoints drop them at times, and
-a request sent on one that is gone may not be sent again.
+The pool closes idle connections after three seconds, because endpoints close them
+at times, and a request lost on a closed connection may not be safe to retry.
 """
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class ForwardCall:
-    """What to send to an endpoint.
+    """A request to send to one endpoint.
 
     Attributes:
-        entry: The endpoint.
+        entry: Registration of the endpoint.
         request: The caller's request.
-        body: Its whole body.
-        delivery: What the endpoint is told besides.
-        patience: Deadlines on progress.
-        new_connection: Whether only a new connection may carry it, on which no late
-            answer to an earlier request can arrive.
-        observe: Is told of each piece of evidence.
+        body: Its complete body.
+        delivery: Metadata that the router adds as headers.
+        patience: Timeouts of each stage.
+        new_connection: Whether to use a new connection only, on which no late answer
+            to an earlier request can arrive.
+        observe: Receives each observed stage of the request.
     """
 
     entry: EndpointEntry
@@ -79,14 +79,14 @@
 
 
 class ForwardAnswer:
-    """An answer whose head is there and whose body is read as it comes.
+    """An answer whose head has arrived and whose body can be streamed.
 
     Args:
-        head: Its head.
-        response: The answer of httpcore.
-        connection: The connection it comes on.
+        head: Status and headers.
+        response: The httpcore response.
+        connection: Connection that carries the answer.
         call: The request that it answers.
-        signs: Is told when parts of it come.
+        signs: Records when bytes arrive.
     """
 
     def __init__(
@@ -101,9 +101,9 @@
         self._head = head
         self._response = response
         self._connection = connection
-        self._gap = call.patience.gap
+        self._gap_timeout = call.patience.gap
         self._endpoint = call.entry.endpoint
-        self._signs = signs
+        self._liveness = signs
 
     @property
     def head(self) -> AnswerHead:
@@ -111,54 +111,56 @@
         return self._head
 
     async def chunks(self) -> AsyncIterator[bytes]:
-        """Read the body part by part.
+        """Stream the body.
 
         Raises:
-            EndpointSilent: If no part came within the patience.
-            AnswerBroken: If the body ended before its stated end, or was reset.
+            EndpointSilent: If no chunk arrived within the timeout.
+            AnswerBroken: If the body ended early or the connection was reset.
         """
         try:
             async for chunk in self._response.aiter_stream():
-                # Until here the patience for the answer's begin was in force.
-                self._connection.stream.read_timeout = self._gap
-                self._signs.record_bytes(endpoint=self._endpoint)
+                # The first chunk still had the longer timeout for the first byte.
+                self._connection.stream.read_timeout = self._gap_timeout
+                self._liveness.record_bytes(endpoint=self._endpoint)
                 yield chunk
         except httpcore.ReadTimeout as error:
-            raise EndpointSilent("the answer stopped", peer=self._endpoint) from error
+            raise EndpointSilent(
+                "the endpoint sent no more of the answer in time", peer=self._endpoint
+            ) from error
         except (httpcore.NetworkError, httpcore.ProtocolError) as error:
             raise AnswerBroken(
-                f"the answer was cut off: {error}", peer=self._endpoint
+                f"the connection broke during the answer: {error}", peer=self._endpoint
             ) from error
 
     async def read(self) -> bytes:
-        """Read the whole body.
+        """Read the complete body.
 
         Raises:
-            EndpointSilent: If no part came within the patience.
-            AnswerBroken: If the body is cut off or over the limit.
+            EndpointSilent: If no chunk arrived within the timeout.
+            AnswerBroken: If the body is incomplete or exceeds the limit.
         """
-        parts: list[bytes] = []
+        chunks: list[bytes] = []
         size = 0
         async for chunk in self.chunks():
             size += len(chunk)
             if size > MAX_ANSWER_BYTES:
                 raise AnswerBroken(
-                    f"the answer is over {MAX_ANSWER_BYTES} bytes", peer=self._endpoint
+                    f"the answer exceeds {MAX_ANSWER_BYTES} bytes", peer=self._endpoint
                 )
-            parts.append(chunk)
-        return b"".join(parts)
+            chunks.append(chunk)
+        return b"".join(chunks)
 
 
 class ForwardClient:
-    """Sends requests to endpoints and keeps their connections.
+    """Sends requests to endpoints over pooled connections.
 
     Args:
-        protocols: Translates to the endpoints' wire.
+        protocols: Encodes requests and decodes answers.
         backend: Opens connections.
         clock: Monotonic clock.
-        signs: Signs of life of endpoints.
-        notices: Heeds what endpoints say of themselves.
-        limits: Bounds of each endpoint's connections.
+        signs: Records activity of endpoints.
+        notices: Processes what answers report about their endpoint.
+        limits: Limits on the connections to each endpoint.
     """
 
     def __init__(
@@ -174,7 +176,7 @@
         self._protocols = protocols
         self._backend = backend
         self._clock = clock
-        self._signs = signs
+        self._liveness = signs
         self._notices = notices
         self._limits = limits
         self._pools: dict[tuple[EndpointId, Address], ConnectionPool] = {}
@@ -183,14 +185,14 @@
     async def send(self, *, call: ForwardCall) -> AsyncIterator[ForwardAnswer]:
         """Send a request and yield its answer.
 
-        Leaving the context before the answer's end closes the connection, by
-        which endpoints notice that nobody waits any more.
+        Leaving the context before the end of the answer closes the connection, which
+        shows the endpoint that the caller no longer waits.
 
         Raises:
-            EndpointUnreachable: If no connection could be had; nothing was sent.
-            EndpointRefused: If the endpoint promised not to run it.
+            EndpointUnreachable: If the connect failed; nothing was sent.
+            EndpointRefused: If the endpoint stated that it did not run the request.
             EndpointReplaced: If another endpoint has the address.
-            EndpointSilent: If no answer began within the patience.
+            EndpointSilent: If no answer started within the timeout.
             AnswerBroken: If the connection broke.
             ForeignAnswer: If the answer belongs to another request.
         """
@@ -206,7 +208,7 @@
             connection.stream.read_extension = partial(self._extra_wait, call, sent_at)
             response = await self._send_request(call=call, connection=connection)
             connection.stream.read_extension = None
-            self._signs.record_answer_start(
+            self._liveness.record_answer_start(
                 endpoint=call.entry.endpoint, sent_at=sent_at
             )
             head = self._protocols.decode_answer(
@@ -224,7 +226,7 @@
                 response=response,
                 connection=connection,
                 call=call,
-                signs=self._signs,
+                signs=self._liveness,
             )
         finally:
             with anyio.CancelScope(shield=True):
@@ -233,14 +235,14 @@
                 await _release(pool=pool, connection=connection)
 
     def _extra_wait(self, call: ForwardCall, sent_at: float) -> float:
-        """Seconds that a request whose time is up waits on, 0 to give it up."""
-        if not self._signs.is_slow(endpoint=call.entry.endpoint, sent_at=sent_at):
+        """Return the seconds to extend a timed-out wait, 0 to give up the request."""
+        if not self._liveness.is_slow(endpoint=call.entry.endpoint, sent_at=sent_at):
             return 0.0
-        left = call.patience.slow_first_byte - (self._clock() - sent_at)
-        return min(left, SLOW_RECHECK_SECONDS)
+        seconds_left = call.patience.slow_first_byte - (self._clock() - sent_at)
+        return min(seconds_left, SLOW_RECHECK_SECONDS)
 
     async def discard_expired(self) -> None:
-        """Close idle connections that are too old, everywhere."""
+        """Close idle connections beyond their maximum age, in all pools."""
         for key, pool in tuple(self._pools.items()):
             await pool.discard_expired()
             if not pool.idle and not pool.busy:
@@ -253,8 +255,8 @@
         self._pools.clear()
 
     def _pool(self, *, entry: EndpointEntry) -> ConnectionPool:
-        # Connections to an earlier start, or to another endpoint that had the
-        # address, neither serve this one nor count against its limit.
+        # Connections to an earlier incarnation, or to another endpoint that had the
+        # address, can't be used for this one and don't count against its limit.
         key = entry.endpoint, entry.address
         pool = self._pools.get(key)
         if pool is None:
@@ -270,31 +272,33 @@
         self, *, call: ForwardCall, connection: Connection
     ) -> httpcore.Response:
         endpoint = call.entry.endpoint
-        before, received = (
+        bytes_written, bytes_received = (
             connection.stream.bytes_written,
             connection.stream.bytes_received,
         )
         try:
             return await connection.http.handle_async_request(self._request(call=call))
         except httpcore.LocalProtocolError as error:
-            # Nothing of it was sent: the request itself breaks the protocol.
+            # httpcore sent nothing: the request itself violates the protocol.
             raise MalformedRequest(
-                f"the request can't be passed on: {error}"
+                f"the request can't be forwarded: {error}"
             ) from error
         except httpcore.ReadTimeout as error:
-            raise EndpointSilent("no answer began", peer=endpoint) from error
+            raise EndpointSilent("no answer started in time", peer=endpoint) from error
         except httpcore.TimeoutException as error:
             raise EndpointSilent(
-                "the request could not be sent", step=Step.SEND, peer=endpoint
+                "the request could not be sent in time", step=Step.SEND, peer=endpoint
             ) from error
         except (httpcore.NetworkError, httpcore.ProtocolError) as error:
-            lost = connection.reused and connection.stream.bytes_received == received
-            kind = IdleConnectionLost if lost else AnswerBroken
-            raise kind(
+            idle_connection_lost = (
+                connection.reused and connection.stream.bytes_received == bytes_received
+            )
+            error_class = IdleConnectionLost if idle_connection_lost else AnswerBroken
+            raise error_class(
                 f"the connection broke before an answer: {error}", peer=endpoint
             ) from error
         finally:
-            if connection.stream.bytes_written > before:
+            if connection.stream.bytes_written > bytes_written:
                 call.observe(Evidence.SENT)
 
     def _request(self, *, call: ForwardCall) -> httpcore.Request:
@@ -316,46 +320,47 @@
 
 
 def _check_answers(*, head: AnswerHead, call: ForwardCall, reused: bool) -> None:
-    """Check that the endpoint that was meant answers the request that it got.
+    """Check that the answer is the intended endpoint's, to this request.
 
     Raises:
-        IdleConnectionLost: If it is a late answer on a kept connection.
-        ForeignAnswer: If it answers another request.
+        IdleConnectionLost: If it is a late answer on a reused connection.
+        ForeignAnswer: If it answers another request, on a new connection.
         EndpointReplaced: If another endpoint has the address.
     """
     endpoint = call.entry.endpoint
     refused = head.not_executed or head.wrong_endpoint
     if head.request_id != call.request.request_id and (head.request_id or not refused):
-        # On a kept connection it is a late answer to an earlier request.
+        # On a reused connection, this is a late answer to an earlier request.
         raise (IdleConnectionLost if reused else ForeignAnswer)(
-            f"asked for request '{call.request.request_id}', "
-            f"got an answer to '{head.request_id}'",
+            f"sent request '{call.request.request_id}', "
+            f"received an answer to '{head.request_id}'",
             peer=endpoint,
         )
     if head.wrong_endpoint:
         call.observe(Evidence.REFUSED)
-        raise EndpointReplaced("another endpoint has its address", peer=endpoint)
+        raise EndpointReplaced("another endpoint has the address", peer=endpoint)
 
 
 def _check_executed(*, head: AnswerHead, call: ForwardCall) -> None:
-    """Note that the answer has begun.
+    """Record that the answer has started, unless the endpoint refused the request.
 
     Raises:
-        EndpointRefused: If the endpoint promised not to run the request.
+        EndpointRefused: If the endpoint stated that it did not run the request.
     """
     if head.not_executed:
         call.observe(Evidence.REFUSED)
         raise EndpointRefused(
-            f"refused with status {head.status}", peer=call.entry.endpoint
+            f"the endpoint refused the request with status {head.status}",
+            peer=call.entry.endpoint,
         )
     call.observe(Evidence.ANSWER_BEGUN)
 
 
 async def _release(*, pool: ConnectionPool, connection: Connection) -> None:
-    """Give a connection back; close it if bytes wait on either side.
+    """Return a connection to the pool; close it if either side has bytes left.
 
-    Bytes to read after a whole answer belong to no request; bytes to write are
-    the rest of a body whose answer came early.
+    Bytes to read after a complete answer belong to no request. Bytes to write are the
+    rest of a request body whose answer arrived early.
     """
     if (
         connection.stream.get_extra_info("is_readable")
