--- a/dotterelpaddle/forwarding/entry_tags.py
+++ b/dotterelpaddle/forwarding/entry_tags.py
@@ -1,4 +1,7 @@
-"""What of endpoints' entries matters, and a short digest of it."""
+"""Compares endpoints' entries and computes a digest of them.
+
+Both ignore the revision and what changes with each heartbeat.
+"""
 
 from __future__ import annotations
 
@@ -13,18 +16,18 @@
 
 
 def same_content(one: EndpointEntry, other: EndpointEntry) -> bool:
-    """Tell whether two entries differ by nothing that matters."""
+    """Tell whether two entries have the same content, whatever their revisions."""
     return one.endpoint == other.endpoint and _content(one) == _content(other)
 
 
 def entries_tag(*, entries: Iterable[EndpointEntry]) -> int:
-    """Digest of entries; the same wherever the same endpoints are known."""
+    """Return a digest of entries, equal on all routers that know the same endpoints."""
     contents = sorted((entry.endpoint, _content(entry)) for entry in entries)
     return tag(text=repr(contents))
 
 
 def _content(entry: EndpointEntry) -> tuple[object, ...]:
-    """What of an entry matters; the rest changes with each heartbeat."""
+    """Return the fields to compare; the others change with each heartbeat."""
     models = sorted(entry.models)
     cold = ("cold",) if entry.cold_left else ()
     state = entry.state.value
--- a/dotterelpaddle/forwarding/termination_probes.py
+++ b/dotterelpaddle/forwarding/termination_probes.py
@@ -1,7 +1,7 @@
-"""Tells endpoints that ended under a request from those that lost one answer.
+"""Distinguishes endpoints that terminated during a request from lost answers.
 
-A connection that breaks says little: answers are lost, connections are reset, and
-links are cut while an endpoint lives. One that has ended refuses the next connection.
+A broken connection proves little: networks lose answers, reset connections and cut
+links while an endpoint lives. A terminated endpoint refuses the next connection.
 """
 
 from __future__ import annotations
@@ -27,13 +27,13 @@
 log = get_logger(name=__name__)
 
 PROBE_TIMEOUT_SECONDS = 0.15
-"""Seconds in which a connection must stand, or be refused."""
+"""Seconds within which a connect must succeed or be refused."""
 
 MAX_PROBES = 4
-"""Looks at an endpoint that gives no answer at all, before nothing is concluded."""
+"""Probes without any result, after which the endpoint counts as alive."""
 
 PROBE_INTERVAL_SECONDS = 0.5
-"""Seconds between them."""
+"""Seconds between two probes of an endpoint."""
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
@@ -41,9 +41,9 @@
     """A request whose connection broke.
 
     Attributes:
-        fingerprint: The request.
-        broken_at: When, seconds on the monotonic clock.
-        answer_begun: Whether its answer had begun and had brought nothing yet.
+        fingerprint: Fingerprint of the request.
+        broken_at: Time of the break, seconds on the monotonic clock.
+        answer_begun: Whether its answer had started and had no content yet.
     """
 
     fingerprint: Fingerprint
@@ -52,13 +52,13 @@
 
 
 class TerminationProber:
-    """Finds out whether endpoints that broke off have ended.
+    """Probes whether endpoints with broken connections have terminated.
 
     Args:
         backend: Opens connections.
-        reachability: Is told of endpoints that have ended.
-        crashes: Is told under which requests.
-        leaving: Endpoints that have said that they leave.
+        reachability: Records endpoints that have terminated.
+        crashes: Records the requests during which they terminated.
+        leaving: Endpoints that have announced their shutdown.
         clock: Monotonic clock.
     """
 
@@ -83,63 +83,69 @@
     def report_broken_connection(
         self, *, entry: EndpointEntry, fingerprint: Fingerprint, answer_begun: bool
     ) -> None:
-        """Note a request whose connection broke after it had been sent.
+        """Record a request whose connection broke after the router had sent it.
 
-        One that is leaving may end beside its last requests, which says nothing.
+        Ignores draining and leaving endpoints, whose termination is expected and so
+        no evidence against their last requests.
+
+        Args:
+            entry: Registration of the endpoint.
+            fingerprint: Fingerprint of the request.
+            answer_begun: Whether the answer had started and had no content yet.
         """
         if entry.state is EndpointState.DRAINING or entry.endpoint in self._leaving:
             return
         broken = _BrokenRequest(
             fingerprint=fingerprint, broken_at=self._clock(), answer_begun=answer_begun
         )
-        waiting = self._pending.setdefault(entry.endpoint, [])
-        if not waiting:
+        pending = self._pending.setdefault(entry.endpoint, [])
+        if not pending:
             self._unprobed.append(entry)
             self._unprobed_event.set()
-        waiting.append(broken)
+        pending.append(broken)
 
     async def run(self) -> None:
-        """Look at endpoints that broke off until cancelled."""
+        """Probe reported endpoints until cancelled."""
         async with anyio.create_task_group() as tasks:
             while True:
                 await self._unprobed_event.wait()
                 self._unprobed_event = anyio.Event()
-                new, self._unprobed = self._unprobed, []
-                for entry in new:
+                unprobed, self._unprobed = self._unprobed, []
+                for entry in unprobed:
                     tasks.start_soon(self._probe, entry)
 
     async def _probe(self, entry: EndpointEntry) -> None:
-        ended = await self._has_terminated(entry=entry)
+        terminated = await self._has_terminated(entry=entry)
         broken = self._pending.pop(entry.endpoint)
         log.info(
             "endpoint_looked_at",
             endpoint=entry.endpoint,
-            ended=ended,
+            ended=terminated,
             requests=len(broken),
         )
-        if ended:
+        if terminated:
             self._reachability.suspect(entry=entry, timed_out=False)
-        for each in broken:
-            if ended:
+        for request in broken:
+            if terminated:
                 self._crashes.record_crash(
-                    fingerprint=each.fingerprint,
+                    fingerprint=request.fingerprint,
                     endpoint=entry.endpoint,
-                    at=each.broken_at,
-                    begun=each.answer_begun,
+                    at=request.broken_at,
+                    begun=request.answer_begun,
                 )
             else:
                 self._crashes.end_attempt(
-                    fingerprint=each.fingerprint, endpoint=entry.endpoint
+                    fingerprint=request.fingerprint, endpoint=entry.endpoint
                 )
 
     async def _has_terminated(self, *, entry: EndpointEntry) -> bool:
         for _ in range(MAX_PROBES):
-            tried = await probe_connection(
+            outcome = await probe_connection(
                 backend=self._backend,
                 address=entry.address,
                 timeout=PROBE_TIMEOUT_SECONDS,
             )
-            match tried:
+            match outcome:
                 case ConnectionOutcome.REFUSED:
                     return True
                 case ConnectionOutcome.ESTABLISHED:
