--- a/dotterelpaddle/forwarding/exceptions.py
+++ b/dotterelpaddle/forwarding/exceptions.py
@@ -1,7 +1,7 @@
-"""Errors of attempts that only forwarding tells apart.
+"""Errors of attempts that only forwarding distinguishes.
 
-They stand apart from the tree that the product's own callers are told of: here they
-decide whether another attempt may follow, and which endpoint is to blame.
+They are not part of the exceptions that callers of the package see. Forwarding uses
+them to decide whether to retry and which endpoint caused a failure.
 """
 
 from __future__ import annotations
@@ -16,22 +16,22 @@
 
 
 class EndpointReplaced(EndpointRefused):
-    """Another endpoint has the address, which refused the request."""
+    """Another endpoint now has the address; it refused the request."""
 
 
 class IdleConnectionLost(AnswerBroken):
-    """A kept connection was of no use when the request was sent on it.
+    """A request failed on a reused connection that was no longer usable.
 
-    It was closed, or a late answer to an earlier request came. It says nothing of
-    the endpoint, which may drop idle connections.
+    The endpoint had closed the connection, or a late answer to an earlier request
+    arrived on it. This is no fault: endpoints may close idle connections.
     """
 
 
 class FailedAnswer(EndpointError):
-    """An endpoint answered that it failed on the request, which has run.
+    """An endpoint ran the request and answered that it failed.
 
     Attributes:
-        answer: The answer, for the caller if no other one comes.
+        answer: The answer, which the caller receives if no retry succeeds.
     """
 
     def __init__(
--- a/dotterelpaddle/forwarding/exchange.py
+++ b/dotterelpaddle/forwarding/exchange.py
@@ -1,4 +1,4 @@
-"""One caller's request on its way through the filters of forwarding."""
+"""State of one forwarded request as it passes the filters."""
 
 from __future__ import annotations
 
@@ -16,24 +16,24 @@
 
 @dataclass(kw_only=True, slots=True)
 class ForwardExchange:
-    """One caller's request.
+    """State of one caller's request.
 
     Attributes:
-        request: Its head.
-        body: Its whole body.
-        reply: The way back to the caller.
-        received_at: When its head arrived, seconds on the monotonic clock.
-        deadline: When nobody waits any more, seconds on the monotonic clock.
-        attempts: Evidence of the attempts to serve it.
-        configuration_version: Version of the configuration that it is served by.
-        route: Its route, once found.
-        service: The service that serves it, once chosen.
+        request: Head of the request.
+        body: Complete body of the request.
+        reply: Sends the answer to the caller.
+        received_at: Arrival of the head, seconds on the monotonic clock.
+        deadline: When the caller stops waiting, seconds on the monotonic clock.
+        attempts: Evidence from the attempts of how far the request got.
+        configuration_version: Version of the configuration used for the request.
+        route: Its route, None until found.
+        service: The selected service, None until selected.
         account: Its client account, None on public routes.
-        fingerprint: What the same request of the same caller always has, None while
-            the account is not known.
-        last_endpoint: The endpoint that was tried last, for the log.
+        fingerprint: Digest, equal for equal requests of one caller; None until the
+            account is known.
+        last_endpoint: Endpoint of the last attempt, for the log.
         caller_disconnected: Whether the caller closed its connection before the end.
-        error: What the caller was told in place of an answer.
+        error: Error that the caller received instead of an answer.
     """
 
     request: ForwardRequest
@@ -54,11 +54,11 @@
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class BufferedAnswer:
-    """An endpoint's whole answer, not yet told to the caller.
+    """An endpoint's complete answer, not yet sent to the caller.
 
     Attributes:
-        head: Its head.
-        body: Its body.
+        head: Status and headers.
+        body: Complete body.
     """
 
     head: AnswerHead
@@ -67,8 +67,8 @@
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class StreamedAnswer:
-    """An answer that was told to the caller event by event, up to its end."""
+    """An answer whose events the caller has received up to its end."""
 
 
 AttemptResult = BufferedAnswer | StreamedAnswer
-"""What an attempt brought."""
+"""Result of a successful attempt."""
