--- a/dotterelpaddle/forwarding/filters.py
+++ b/dotterelpaddle/forwarding/filters.py
@@ -1,4 +1,4 @@
-"""Filters that a forwarded request passes."""
+"""Filters of the forwarding pipeline."""
 
 from __future__ import annotations
 
@@ -41,20 +41,21 @@
     NextFilter = Callable[[ForwardExchange], Awaitable[None]]
 
 UNCONFIGURED_RETRY_SECONDS = 0.3
-"""Seconds after which a caller may come back to a router without configuration.
+"""Retry-after of a router without configuration.
 
-Another router, which a retry reaches, has one; this one looks ten times a second.
+The load balancer sends the retry to another router, which has a configuration. This
+router tries to read one ten times a second.
 """
 
 
 class RouteFilter:
     """Finds the route of a request and the client account that sent it.
 
-    Both are looked up in one version of the configuration.
+    It looks up both in one version of the configuration.
 
     Args:
-        view: The configuration in force.
-        generator: Splits requests among the services of a route.
+        view: Provides the active configuration.
+        generator: Random generator that splits requests among the services of a route.
     """
 
     def __init__(self, *, view: FleetView, generator: random.Random) -> None:
@@ -64,10 +65,10 @@
     async def __call__(
         self, exchange: ForwardExchange, next_filter: NextFilter
     ) -> None:
-        """Set route, service, account and fingerprint, and go on.
+        """Set route, service, account and fingerprint, and run the next filter.
 
         Raises:
-            NotAccepting: If no configuration is known here.
+            NotAccepting: If the router has no configuration.
             RouteNotFound: If no route matches.
             NotAuthenticated: If the key is missing or unknown.
         """
@@ -83,7 +84,7 @@
         route = self._view.route(host=request.host, path=request.path)
         if route is None:
             raise RouteNotFound(
-                f"no route of host '{request.host}' begins the path '{request.path}'"
+                f"no route of host '{request.host}' matches the path '{request.path}'"
             )
         exchange.route = route
         if not route.public and configuration.accounts_by_key is not None:
@@ -104,7 +105,7 @@
 
 
 class DeadlineFilter:
-    """Ends a request when its route's timeout or its caller's patience ends.
+    """Cancels a request at its route's timeout or its caller's deadline.
 
     Args:
         clock: Monotonic clock.
@@ -116,10 +117,10 @@
     async def __call__(
         self, exchange: ForwardExchange, next_filter: NextFilter
     ) -> None:
-        """Set the deadline and go on until then.
+        """Set the deadline and run the next filter until then.
 
         Raises:
-            DeadlineExceeded: When it passes.
+            DeadlineExceeded: If the deadline passes.
         """
         route = exchange.route
         assert route is not None
@@ -134,12 +135,12 @@
 
 
 class ForwardFilter:
-    """The last filter: sends the request to an endpoint and answers the caller.
+    """Sends the request to an endpoint and answers the caller; the last filter.
 
     Args:
-        attempts: Places and sends attempts.
-        client: Client of endpoints.
-        repeats: Counts requests, which repeats are a share of.
+        attempts: Selects endpoints and sends attempts.
+        client: Sends requests to endpoints.
+        repeats: Counts requests; the retry budget is a share of them.
     """
 
     def __init__(
@@ -147,18 +148,18 @@
     ) -> None:
         self._attempts = attempts
         self._client = client
-        self._repeats = repeats
+        self._retry_budget = repeats
 
     async def __call__(
         self, exchange: ForwardExchange, next_filter: NextFilter
     ) -> None:
-        """Serve the request.
+        """Send the request to an endpoint and its answer to the caller.
 
         Raises:
-            RequestError: If there is no answer to pass on.
+            RequestError: If no endpoint returned an answer to forward.
         """
         assert exchange.service is not None
-        self._repeats.count_request(service=exchange.service)
+        self._retry_budget.count_request(service=exchange.service)
         try:
             result = await self._attempts.run(
                 exchange=exchange, relay=self._relay(exchange=exchange)
--- a/dotterelpaddle/forwarding/progress.py
+++ b/dotterelpaddle/forwarding/progress.py
@@ -1,4 +1,4 @@
-"""How far the attempts at one request have got."""
+"""Progress of the attempts to serve one request."""
 
 from __future__ import annotations
 
@@ -22,7 +22,7 @@
 
 
 class TriedEndpoints:
-    """The endpoints that a request was meant for so far."""
+    """Endpoints to which the router has tried to send a request."""
 
     def __init__(self) -> None:
         self._attempted: set[EndpointId] = set()
@@ -30,21 +30,24 @@
 
     @property
     def attempted(self) -> frozenset[EndpointId]:
-        """Those that got it or said no."""
+        """Endpoints that received the request, refused it or were unreachable."""
         return frozenset(self._attempted)
 
     @property
     def connect_timeouts(self) -> frozenset[EndpointId]:
-        """Those whose connection did not stand in time, asked once each."""
+        """Endpoints whose connect timed out once; one more connect may follow."""
         return frozenset(self._connect_timeouts)
 
     @property
     def excluded(self) -> frozenset[EndpointId]:
-        """All of them."""
+        """Endpoints to avoid in the next attempt: all that were tried."""
         return self.attempted | self.connect_timeouts
 
     def add(self, *, endpoint: EndpointId, failure: EndpointError) -> None:
-        """Take in how an attempt failed."""
+        """Record the failure of an attempt.
+
+        A lost idle connection doesn't count: a new connection may succeed.
+        """
         match failure:
             case IdleConnectionLost():
                 pass
@@ -57,7 +60,7 @@
                 self._connect_timeouts.discard(endpoint)
 
     def connect_timeout(self, *, endpoint: EndpointId) -> float:
-        """Seconds until a connection to an endpoint must stand."""
+        """Return the connect timeout of the next attempt at an endpoint, in seconds."""
         return (
             LAST_CONNECT_TIMEOUT_SECONDS
             if endpoint in self._connect_timeouts
@@ -66,7 +69,7 @@
 
 
 class AttemptProgress:
-    """When things were seen of one attempt.
+    """Observed stages of one attempt and their times.
 
     Args:
         attempt: The attempt.
@@ -81,7 +84,7 @@
         self._clock = clock
 
     def observe(self, evidence: Evidence) -> None:
-        """Take in a piece of evidence."""
+        """Record an observed stage of the attempt."""
         self.attempt.observe(evidence)
         if evidence is Evidence.ANSWER_BEGUN and self.attempt.state in (
             AttemptState.ANSWERING,
--- a/dotterelpaddle/forwarding/relays.py
+++ b/dotterelpaddle/forwarding/relays.py
@@ -1,4 +1,4 @@
-"""Send one attempt to an endpoint and bring its answer."""
+"""Relays send one attempt to an endpoint and return or stream its answer."""
 
 from __future__ import annotations
 
@@ -26,17 +26,17 @@
 MIN_SERVER_ERROR_STATUS = 500
 
 NOT_EXECUTED_STATUSES = frozenset({408, 421, 429, 503})
-"""Statuses that promise callers that a request has not run.
+"""Statuses that tell callers that a request has not run.
 
-An endpoint's answer with one of them keeps that promise only if it says so in a
-header as well, by which it is told apart before it comes here.
+From an endpoint, such a status proves this only together with a header. The client
+raises EndpointRefused for those answers, so none of them reaches this module.
 """
 
 EVENT_ID_FIELD = b"id:"
 
 
 class Relay(Protocol):
-    """Sends attempts of one exchange."""
+    """Sends the attempts of one request."""
 
     @property
     def last_event_id(self) -> str:
@@ -46,16 +46,16 @@
         """Send one attempt.
 
         Raises:
-            EndpointError: If it brought no whole answer.
+            EndpointError: If the endpoint returned no complete answer.
         """
 
 
 class BufferingRelay:
-    """Holds an answer back until it is whole, so that another can replace it.
+    """Buffers an answer until it is complete, so that a retry can replace it.
 
     Args:
-        exchange: The exchange.
-        client: Client of endpoints.
+        exchange: The request.
+        client: Sends requests to endpoints.
     """
 
     def __init__(self, *, exchange: ForwardExchange, client: ForwardClient) -> None:
@@ -64,7 +64,7 @@
 
     @property
     def last_event_id(self) -> str:
-        """What the caller said, as it is not ours to change."""
+        """The id that the caller sent, which the router forwards unchanged."""
         return self._exchange.request.last_event_id
 
     async def send(self, *, call: ForwardCall) -> AttemptResult:
@@ -74,15 +74,15 @@
 
 
 class EventRelay:
-    """Passes events on as they come, and goes on at another endpoint if need be.
+    """Streams events to the caller and can resume the stream at another endpoint.
 
-    The caller's answer keeps the head of the first endpoint that brought an
-    event. An event goes on only when it is whole: an endpoint may stop in the
-    middle of one, and the next endpoint begins with the one after the last.
+    The caller's answer keeps the head of the first endpoint that sent an event. The
+    relay forwards only complete events: an endpoint may fail in the middle of an
+    event, and the next endpoint starts after the last complete one.
 
     Args:
-        exchange: The exchange.
-        client: Client of endpoints.
+        exchange: The request.
+        client: Sends requests to endpoints.
     """
 
     def __init__(self, *, exchange: ForwardExchange, client: ForwardClient) -> None:
@@ -101,11 +101,11 @@
             if answer.head.status not in SUCCESS_STATUSES:
                 return await read_buffered_answer(answer=answer, call=call)
             check_origin(answer=answer, call=call)
-            await self._pass_on(answer=answer, call=call)
+            await self._stream(answer=answer, call=call)
         call.observe(Evidence.ANSWER_COMPLETE)
         return StreamedAnswer()
 
-    async def _pass_on(self, *, answer: ForwardAnswer, call: ForwardCall) -> None:
+    async def _stream(self, *, answer: ForwardAnswer, call: ForwardCall) -> None:
         buffer = EventBuffer()
         reply = self._exchange.reply
         async for chunk in answer.chunks():
@@ -138,38 +138,38 @@
 async def read_buffered_answer(
     *, answer: ForwardAnswer, call: ForwardCall
 ) -> BufferedAnswer:
-    """Read an answer to its end.
+    """Read a complete answer.
 
     Raises:
-        FailedAnswer: If it says that the endpoint failed on the request.
-        AnswerBroken: If it is cut off, or a success without proof of origin.
+        FailedAnswer: If its status reports a failure of the endpoint.
+        AnswerBroken: If it is incomplete, or a success without proof of origin.
     """
     head = answer.head
-    whole = BufferedAnswer(head=head, body=await answer.read())
+    buffered = BufferedAnswer(head=head, body=await answer.read())
     call.observe(Evidence.ANSWER_COMPLETE)
     if head.status >= MIN_SERVER_ERROR_STATUS or head.status in NOT_EXECUTED_STATUSES:
         raise FailedAnswer(
-            f"answered with status {head.status}",
-            answer=whole,
+            f"the endpoint answered with status {head.status}",
+            answer=buffered,
             peer=call.entry.endpoint,
         )
     check_origin(answer=answer, call=call)
-    return whole
+    return buffered
 
 
 def check_origin(*, answer: ForwardAnswer, call: ForwardCall) -> None:
-    """Check that a success is an endpoint's own.
+    """Check that a successful answer comes from an endpoint, unmodified.
 
     Raises:
-        AnswerBroken: If it bears no proof of origin, or is encoded as nobody
-            asked for, so that its body is not the endpoint's.
+        AnswerBroken: If it has no proof of origin, or an encoding that the caller
+            did not request, which shows that the body is not the endpoint's.
     """
     head = answer.head
     if head.status in SUCCESS_STATUSES and (
         not head.has_origin_proof or head.has_unexpected_encoding
     ):
         raise AnswerBroken(
-            "the answer bears no proof of its origin", peer=call.entry.endpoint
+            "the answer has no proof of its origin", peer=call.entry.endpoint
         )
 
 
--- a/dotterelpaddle/forwarding/reply.py
+++ b/dotterelpaddle/forwarding/reply.py
@@ -1,4 +1,4 @@
-"""The way back to a caller of a forwarded request, over ASGI."""
+"""Sends the answer of a forwarded request to its caller over ASGI."""
 
 from __future__ import annotations
 
@@ -14,11 +14,11 @@
 
 
 class ForwardReply:
-    """Sends an answer by ASGI messages; waits while the caller is slow.
+    """Sends an answer as ASGI messages, with backpressure from a slow caller.
 
     Args:
-        send: The ASGI server's function.
-        should_close: Tells whether the caller should open a new connection next time.
+        send: ASGI send callable of the server.
+        should_close: Returns whether to close the connection after the answer.
         clock: Monotonic clock.
     """
 
@@ -41,28 +41,28 @@
 
     @property
     def finished(self) -> bool:
-        """Whether the answer has ended in the regular way."""
+        """Whether the answer is complete."""
         return self._finished
 
     @property
     def status(self) -> int:
-        """The status that was sent, 0 before."""
+        """The sent status, 0 before the start of the answer."""
         return self._status
 
     @property
     def started_at(self) -> float | None:
-        """When its first bytes were sent, None before."""
+        """Start of the answer, seconds on the monotonic clock; None before it."""
         return self._started_at
 
     @property
     def longest_pause(self) -> float:
-        """Longest seconds between two parts of its body."""
+        """Longest pause before a chunk of the body, in seconds."""
         return self._longest_pause
 
     async def send_buffered(
         self, *, status: int, headers: Headers, body: bytes
     ) -> None:
-        """Send a whole answer at once."""
+        """Send a complete answer at once."""
         length = (b"content-length", str(len(body)).encode())
         await self.start(status=status, headers=[*headers, length])
         self._finished = True
@@ -79,7 +79,7 @@
         )
 
     async def write(self, *, chunk: bytes) -> None:
-        """Send part of the body."""
+        """Send a chunk of the body."""
         now = self._clock()
         self._longest_pause = max(self._longest_pause, now - self._written_at)
         self._written_at = now
@@ -88,6 +88,6 @@
         )
 
     async def finish(self) -> None:
-        """End the body in the regular way."""
+        """End the body, which completes the answer."""
         self._finished = True
         await self._send({"type": "http.response.body", "body": b""})
