--- a/dotterelpaddle/forwarding/__init__.py
+++ b/dotterelpaddle/forwarding/__init__.py
@@ -1,1 +1,1 @@
-"""Forwarding of callers' requests, unread, to the endpoints of a service."""
+"""Forwards callers' requests unmodified to the endpoints of a service."""
--- a/dotterelpaddle/forwarding/metrics.py
+++ b/dotterelpaddle/forwarding/metrics.py
@@ -1,4 +1,4 @@
-"""What a forwarding router counts, for those who look for the cause of trouble."""
+"""Prometheus metrics of a forwarding router."""
 
 from __future__ import annotations
 
@@ -21,14 +21,13 @@
     from dotterelpaddle.peers.directory import PeerDirectory
 
 MEMORY_FILE = Path("/proc/self/statm")
-"""Where the system tells a process's memory, in pages; the second field is what is
-resident."""
+"""Memory of the process in pages; the second field is the resident size."""
 
 PAGE_BYTES = 4096
 
 
 class ForwardMetrics:
-    """Counts what happens to requests and to calls of the platform."""
+    """Counters and histograms of requests and of calls to the platform."""
 
     def __init__(self) -> None:
         self.registry = Metrics()
@@ -37,15 +36,15 @@
             name="requests_total",
             doc="Callers' requests that ended, by kind, status and outcome.",
         )
-        self._seconds = histogram(
+        self._request_seconds = histogram(
             name="request_seconds",
             doc="Seconds from a request's arrival to its end, by kind.",
         )
-        self._pauses = histogram(
+        self._longest_pauses = histogram(
             name="longest_pause_seconds",
             doc="Longest pause between two events of a stream, by route's objective.",
         )
-        self._begins = histogram(
+        self._first_byte_seconds = histogram(
             name="first_byte_seconds",
             doc="Seconds from an attempt's begin to its answer's, by service.",
         )
@@ -61,13 +60,13 @@
             name="requests_blocked_total",
             doc="Requests that were sent to no endpoint as others ended under them.",
         )
-        self._calls = counter(
+        self._platform_calls = counter(
             name="platform_calls_total",
             doc="Calls to the platform's store, by what was asked and result.",
         )
 
     def count_request(self, *, exchange: ForwardExchange, seconds: float) -> None:
-        """Count a request that ended."""
+        """Record a finished request and its duration in seconds."""
         kind = exchange.route.kind.value if exchange.route else ""
         self._requests.inc(
             {
@@ -76,45 +75,51 @@
                 "outcome": exchange.attempts.outcome.value,
             }
         )
-        self._seconds.observe({"kind": kind}, seconds)
+        self._request_seconds.observe({"kind": kind}, seconds)
         route = exchange.route
         if route is not None and route.kind is RequestKind.STREAM:
             objective = f"{route.gap_objective:g}"
-            self._pauses.observe({"objective": objective}, exchange.reply.longest_pause)
+            self._longest_pauses.observe(
+                {"objective": objective}, exchange.reply.longest_pause
+            )
 
     def observe_first_byte(self, *, service: str, seconds: float) -> None:
-        """Count an answer that began."""
-        self._begins.observe({"service": service}, seconds)
+        """Record the seconds from the start of an attempt to its answer."""
+        self._first_byte_seconds.observe({"service": service}, seconds)
 
     def count_choice(self, *, choice: Choice) -> None:
-        """Count an endpoint that was chosen, by why this router chose it itself."""
-        alone = choice.local_reason.value if choice.local_reason is not None else ""
-        self._choices.inc({"service": choice.entry.service, "alone_because": alone})
+        """Count a selected endpoint, by the reason why no owner selected it."""
+        local_reason = (
+            choice.local_reason.value if choice.local_reason is not None else ""
+        )
+        self._choices.inc(
+            {"service": choice.entry.service, "alone_because": local_reason}
+        )
 
     def count_failed_attempt(self, *, service: str, error: str) -> None:
-        """Count an attempt that brought no answer."""
+        """Count an attempt without a successful answer."""
         self._failures.inc({"service": service, "error": error})
 
     def count_blocked_request(self, *, service: str) -> None:
-        """Count a request that was not sent as endpoints end under it."""
+        """Count a request blocked because endpoints crashed during it."""
         self._blocked.inc({"service": service})
 
     def count_platform_call(self, *, call: str, result: str) -> None:
         """Count a call to the platform."""
-        self._calls.inc({"what": call, "result": result})
+        self._platform_calls.inc({"what": call, "result": result})
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class MetricsSources:
-    """What is read when metrics are asked for.
+    """Components whose state a scrape reads.
 
     Attributes:
-        view: Configuration and endpoints in force.
+        view: Active configuration and endpoints.
         loads: Requests in flight.
-        repeats: What repeats cost.
-        crashes: Under which requests endpoints ended.
+        repeats: Retry budget.
+        crashes: Requests suspected to crash endpoints.
         directory: The other routers.
-        follower: Knows how long ago the platform was heard from.
+        follower: Provides the age of the last update from the platform.
     """
 
     view: FleetView
@@ -126,11 +131,11 @@
 
 
 class MetricsPage:
-    """Renders the counts, and the state at that moment, as Prometheus text.
+    """Renders the metrics and the current state as Prometheus text.
 
     Args:
-        metrics: What was counted.
-        sources: Whose state is told.
+        metrics: Counters and histograms.
+        sources: Components whose state is rendered.
     """
 
     def __init__(self, *, metrics: ForwardMetrics, sources: MetricsSources) -> None:
@@ -140,7 +145,7 @@
         self._version = gauge(
             name="configuration_version", doc="Version of the configuration in force."
         )
-        self._age = gauge(
+        self._platform_age = gauge(
             name="platform_word_age_seconds",
             doc="Seconds since this router heard from the platform, by what it told.",
         )
@@ -149,11 +154,11 @@
             name="endpoint_in_flight",
             doc="Requests in flight at an endpoint, of all routers as far as known.",
         )
-        self._repeats_left = gauge(
+        self._retries_left = gauge(
             name="repeats_left",
             doc="Repeats that this router may make now, by service.",
         )
-        self._suspects = gauge(
+        self._suspected_requests = gauge(
             name="requests_suspected",
             doc="Requests under which an endpoint ended of late, and those blocked.",
         )
@@ -161,42 +166,48 @@
         self._memory = gauge(name="memory_bytes", doc="Resident memory.")
 
     def render(self) -> bytes:
-        """Return the page."""
-        observed = self._sources
-        self._version.set({}, observed.view.version)
+        """Return the metrics in the Prometheus text format."""
+        sources = self._sources
+        self._version.set({}, sources.view.version)
         ages = {
-            "configuration": observed.follower.configuration_age,
-            "endpoints": observed.follower.endpoints_age,
+            "configuration": sources.follower.configuration_age,
+            "endpoints": sources.follower.endpoints_age,
         }
         for what, age in ages.items():
-            self._age.set({"what": what}, age if math.isfinite(age) else math.nan)
+            self._platform_age.set(
+                {"what": what}, age if math.isfinite(age) else math.nan
+            )
         self._set_endpoints()
-        self._suspects.set({"state": "suspected"}, observed.crashes.suspect_count)
-        self._suspects.set({"state": "blocked"}, observed.crashes.blocked_count)
-        self._peers.set({}, len(observed.directory.alive))
+        self._suspected_requests.set(
+            {"state": "suspected"}, sources.crashes.suspect_count
+        )
+        self._suspected_requests.set(
+            {"state": "blocked"}, sources.crashes.blocked_count
+        )
+        self._peers.set({}, len(sources.directory.alive))
         self._memory.set({}, _resident_bytes())
         return self._registry.render()
 
     def _set_endpoints(self) -> None:
-        observed = self._sources
-        # Endpoints come and go; what is told is only of those that are there.
+        sources = self._sources
+        # Drop the series of endpoints that no longer exist.
         self._in_flight.values.clear()
         self._endpoints.values.clear()
         counts: dict[str, int] = {}
-        loads = observed.loads.loads()
-        for entry in observed.view.entries:
+        loads = sources.loads.loads()
+        for entry in sources.view.entries:
             counts[entry.service] = counts.get(entry.service, 0) + 1
             labels = {"service": entry.service, "endpoint": entry.endpoint}
             self._in_flight.set(labels, loads[entry.endpoint])
         for service, count in counts.items():
             self._endpoints.set({"service": service}, count)
-        for service in observed.repeats.counts():
-            room = max(0.0, observed.repeats.room(service=service))
-            self._repeats_left.set({"service": service}, math.floor(room))
+        for service in sources.repeats.counts():
+            retries_left = max(0.0, sources.repeats.room(service=service))
+            self._retries_left.set({"service": service}, math.floor(retries_left))
 
 
 def _resident_bytes() -> int:
-    """Resident memory; 0 where the system does not tell it, as under macOS."""
+    """Return the resident memory, 0 on systems without procfs such as macOS."""
     if not MEMORY_FILE.exists():
         return 0
     return int(MEMORY_FILE.read_text().split()[1]) * PAGE_BYTES
--- a/dotterelpaddle/forwarding/router.py
+++ b/dotterelpaddle/forwarding/router.py
@@ -27,22 +27,22 @@
 log = get_logger(name=__name__)
 
 SHUTDOWN_MARGIN_SECONDS = 0.4
-"""Seconds before the process would be killed by which all has ended."""
+"""Seconds between the end of the graceful shutdown and the kill of the process."""
 
 HOUSEKEEPING_INTERVAL_SECONDS = 1.0
-"""Seconds between looks at idle connections and forgotten endpoints."""
+"""Seconds between cleanups of idle connections and state of removed endpoints."""
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class RunningForwarder:
-    """A router that runs.
+    """A running router and its addresses.
 
     Attributes:
-        parts: Its parts.
-        callers: Where it listens for callers.
-        readiness: Where it says whether it is ready.
-        control: Where it hands out what it knows.
-        peers: Where it exchanges reports.
+        parts: Components of the router.
+        callers: Address for callers.
+        readiness: Address of the readiness check.
+        control: Address where other routers fetch state and operators metrics.
+        peers: Address for datagrams of other routers.
     """
 
     parts: Components
@@ -63,14 +63,14 @@
 
     Args:
         settings: The router's settings.
-        surroundings: What it is connected to.
-        listener: Where it listens for callers already, None to open a socket.
+        surroundings: Dependencies of the router.
+        listener: Socket that already listens for callers, None to open one.
 
     Yields:
-        The router. It serves once it knows configuration and endpoints.
+        The router, which serves callers once it knows configuration and endpoints.
     """
     parts = build_components(settings=settings, dependencies=surroundings)
-    app, knowledge = parts.app, parts.state
+    app, state = parts.app, parts.state
     grace = settings.shutdown_timeout - settings.drain_time - SHUTDOWN_MARGIN_SECONDS
     async with (
         open_datagram_socket(
@@ -87,7 +87,7 @@
         control = await stack.enter_async_context(
             serve(
                 app=ControlApp(
-                    view=knowledge.view, caches=knowledge.caches, metrics=parts.metrics
+                    view=state.view, caches=state.caches, metrics=parts.metrics
                 ),
                 address=settings.control,
                 additional_address=settings.metrics,
@@ -106,7 +106,7 @@
                 app=app,
                 address=listener or settings.callers,
                 grace=grace,
-                protocol=caller_protocol(limits=lambda: knowledge.view.limits),
+                protocol=caller_protocol(limits=lambda: state.view.limits),
             )
         )
         log.info("router_started", router=settings.router)
@@ -120,8 +120,8 @@
         log.info("router_stopping", in_flight=app.in_flight)
         parts.start_draining()
         await anyio.sleep(settings.drain_time)
-        # Callers' server ends first: it takes no new connection, closes idle ones,
-        # and waits for the requests that it has.
+        # The exit stack stops the callers' server first. That server accepts no new
+        # connections, closes idle ones and waits for requests in flight.
         await stack.aclose()
         log.info("router_stopped", in_flight=app.in_flight)
         await parts.client.aclose()
@@ -129,12 +129,12 @@
 
 
 async def _run_housekeeping(parts: Components) -> None:
-    knowledge = parts.state
+    state = parts.state
     while True:
         await anyio.sleep(HOUSEKEEPING_INTERVAL_SECONDS)
         await parts.client.discard_expired()
-        known = frozenset(entry.endpoint for entry in knowledge.view.entries)
-        knowledge.health.retain(endpoints=known)
-        knowledge.liveness.retain(endpoints=known)
-        knowledge.quiet.retain(endpoints=known)
-        knowledge.cold.retain(endpoints=known)
+        known_endpoints = frozenset(entry.endpoint for entry in state.view.entries)
+        state.health.retain(endpoints=known_endpoints)
+        state.liveness.retain(endpoints=known_endpoints)
+        state.quiet.retain(endpoints=known_endpoints)
+        state.cold.retain(endpoints=known_endpoints)
