--- a/dotterelpaddle/tests/forwarding/harness.py
+++ b/dotterelpaddle/tests/forwarding/harness.py
@@ -139,9 +139,9 @@
                 "peers": ANY_LOCAL_ADDRESS,
                 "seeds": tuple(router.peers for router in self.routers),
                 "store": self.store_address,
-                "shutdown": 2.0,
-                "leave_time": 0.0,
-                "repeats": RETRY_LIMITS,
+                "shutdown_timeout": 2.0,
+                "drain_time": 0.0,
+                "retry_limits": RETRY_LIMITS,
                 **fields,
             }
         )
