--- a/dotterelpaddle/daemon/__init__.py
+++ b/dotterelpaddle/daemon/__init__.py
@@ -1,1 +1,1 @@
-"""The thin daemon: one router that forwards requests on the users' platform."""
+"""Minimal daemon that runs one forwarding router on the users' platform."""
--- a/dotterelpaddle/daemon/__main__.py
+++ b/dotterelpaddle/daemon/__main__.py
@@ -1,8 +1,8 @@
-"""The daemon's command line, which is one environment variable.
+"""Entry point of the daemon, configured by one environment variable.
 
-It imports only what a router runs: memory counts on small hosts. What takes long to
-import comes after callers' socket is open: connections made meanwhile wait a third
-of a second instead of being reset.
+It imports only the modules that a router runs, since memory is scarce on small hosts.
+It opens the callers' socket before the slow imports: connections made meanwhile wait
+a third of a second instead of being reset.
 """
 
 from __future__ import annotations
@@ -27,8 +27,11 @@
 SETTINGS_ERROR_EXIT_CODE = 2
 
 GC_THRESHOLDS = (5_000, 20, 20)
-"""Objects and rounds between collections: requests leave few cycles behind, and the
-usual 700 objects are a dozen requests."""
+"""Thresholds of the garbage collector's generations.
+
+Requests create few reference cycles, and the default threshold of 700 objects would
+trigger a collection every dozen requests.
+"""
 
 
 def main() -> int:
@@ -37,8 +40,8 @@
     Returns:
         The exit code.
     """
-    # What is loaded stays: looking through it for garbage costs a start 30 ms, and
-    # each later look as much again.
+    # Imported modules are never garbage. To scan them takes 30 ms during the start and
+    # as much again in each later collection, so they are frozen below.
     gc.disable()
     path = os.environ.get(SETTINGS_VARIABLE, "")
     try:
@@ -63,16 +66,16 @@
 
 
 def _listen(address: Address) -> socket.socket:
-    """Open callers' socket.
+    """Open the socket for callers.
 
     Raises:
-        SettingsError: If the address can't be had.
+        SettingsError: If the address can't be bound.
     """
     try:
         return bind(address=address)
     except OSError as error:
         raise SettingsError(
-            f"field 'listen.callers': {address} can't be had: {error.strerror}"
+            f"field 'listen.callers': {address} can't be bound: {error.strerror}"
         ) from error
 
 
--- a/dotterelpaddle/daemon/process.py
+++ b/dotterelpaddle/daemon/process.py
@@ -1,4 +1,4 @@
-"""Runs one router in a process of its own until a signal stops it."""
+"""Runs one router in its own process until a signal stops it."""
 
 from __future__ import annotations
 
@@ -34,7 +34,7 @@
 
     Args:
         settings: The router's settings.
-        listener: Where it listens for callers already.
+        listener: Socket that already listens for callers.
     """
     sink = LineSink(descriptor=sys.stdout.fileno())
     with log_to_sink(level=Level.INFO, sink=sink):
@@ -45,7 +45,7 @@
     links = Links()
     documents = PlatformDocumentDecoder()
     source = StoreSource(address=settings.store, documents=documents, links=links)
-    surroundings = Dependencies(
+    dependencies = Dependencies(
         source=source,
         protocols=PlatformCodec(),
         documents=documents,
@@ -55,12 +55,12 @@
     )
     with anyio.open_signal_receiver(*STOP_SIGNALS, signal.SIGHUP) as signals:
         async with run_forwarder(
-            settings=settings, surroundings=surroundings, listener=listener
+            settings=settings, surroundings=dependencies, listener=listener
         ):
             async for received in signals:
                 if received in STOP_SIGNALS:
                     break
-                # Every setting is an address or a bound of the process itself,
-                # which are in force from its start on.
+                # A reload changes nothing: every setting is an address or a limit of
+                # the process that takes effect only at its start.
                 log.info("settings_unchanged", signal=received.name)
     await source.aclose()
--- a/dotterelpaddle/daemon/unused_imports.py
+++ b/dotterelpaddle/daemon/unused_imports.py
@@ -1,4 +1,4 @@
-"""Leaves out of imports what a router never runs."""
+"""Skips imports of modules that a router never uses."""
 
 from __future__ import annotations
 
@@ -11,32 +11,34 @@
 SERVER_PACKAGE = "uvicorn"
 
 UNUSED_MODULES = ("certifi", "logging.config")
-"""Modules that libraries import for what a router never asks of them: certificates
-of encrypted connections, and settings of logs. They bring forty others along, which
-are a fifteenth of the processor time of a start; callers wait for that."""
+"""Modules that libraries import for features that a router never uses.
+
+These are certificates of encrypted connections and logging configuration. They import
+forty other modules, a fifteenth of the CPU time of a start, during which callers wait.
+"""
 
 
 def skip_unused_imports() -> None:
-    """Let libraries be imported without what a router never runs of them."""
+    """Make later imports of libraries skip the unused modules."""
     for name in UNUSED_MODULES:
         sys.modules.setdefault(name, ModuleType(name))
     skip_server_command_line()
 
 
 def skip_server_command_line() -> None:
-    """Let the HTTP server's modules be imported without its command line.
+    """Make later imports of the HTTP server skip its command line.
 
-    The package imports its command line, its reloader and what starts processes
-    on its own import, none of which a router runs: 1.8 MB of each process.
+    The package's own import loads its command line, reloader and process supervisor.
+    A router uses none of them, and they take 1.8 MB of memory per process.
     """
     if SERVER_PACKAGE in sys.modules:
         return
     spec = PathFinder.find_spec(SERVER_PACKAGE)
     if spec is None:
-        # It is missing; the import that needs it says so.
+        # The package is missing; a later import of it raises the error.
         return
-    # The package is there with its path, so that its modules are found, and with
-    # the two names that they and this project use; its own code is not run.
+    # Registers the package without running its code. It has its path, so that imports
+    # find its modules, and the two names that they and this project use.
     package = module_from_spec(spec)
     sys.modules[SERVER_PACKAGE] = package
     vars(package)["Config"] = import_module(f"{SERVER_PACKAGE}.config").Config
