--- a/dotterelpaddle/forwarding/caller_protocol.py
+++ b/dotterelpaddle/forwarding/caller_protocol.py
@@ -51,9 +51,7 @@
             super().connection_made(transport)
             active_limits = limits()
             self.timeout_keep_alive = (
-                active_limits.idle_timeout  # type: ignore[assignment]
-                if active_limits
-                else DEFAULT_IDLE_SECONDS
+                active_limits.idle_timeout if active_limits else DEFAULT_IDLE_SECONDS  # type: ignore[assignment]
             )
             self.timeout_keep_alive_task = self.loop.call_later(
                 self.timeout_keep_alive, self.timeout_keep_alive_handler
