--- a/dotterelpaddle/tests/daemon/test_process.py
+++ b/dotterelpaddle/tests/daemon/test_process.py
@@ -1,4 +1,4 @@
-"""The daemon as a process of its own."""
+"""Tests of the daemon in its own process."""
 
 from __future__ import annotations
 
@@ -35,7 +35,7 @@
 pytestmark = pytest.mark.anyio
 
 LIMIT = 30.0
-"""Seconds after which a wait fails; a start takes under one."""
+"""Seconds after which a wait fails; a start takes less than one second."""
 
 COMMAND = [sys.executable, "-m", "dotterelpaddle.daemon"]
 
--- a/dotterelpaddle/tests/forwarding/harness.py
+++ b/dotterelpaddle/tests/forwarding/harness.py
@@ -1,4 +1,4 @@
-"""One or more forwarding routers over stand-ins of store and endpoints."""
+"""Runs forwarding routers against stand-ins of the store and of endpoints."""
 
 from __future__ import annotations
 
@@ -35,17 +35,17 @@
 ACCOUNT = "acme"
 HOST = "a.example"
 WAIT_TIMEOUT_SECONDS = 10.0
-"""Seconds after which a wait of a test fails."""
+"""Seconds after which `wait_until` fails."""
 
 RETRY_LIMITS = RetryLimits(share=0.2, allowance=50.0, window=10.0)
 
 Headers = dict[bytes, bytes]
 
-_numbers = itertools.count(1)
+_request_numbers = itertools.count(1)
 
 
 def route(prefix: str, kind: str, **fields: Any) -> dict[str, Any]:
-    """A route of the configuration."""
+    """Return a route of the configuration."""
     return {
         "name": f"r-{prefix}",
         "host": HOST,
@@ -64,7 +64,7 @@
 
 
 def configuration(version: int = 1, **fields: Any) -> dict[str, Any]:
-    """A whole configuration."""
+    """Return a complete configuration."""
     return {
         "version": version,
         "routes": [
@@ -88,13 +88,16 @@
 
 @dataclass(kw_only=True)
 class Fleet:
-    """Stand-ins and routers of one test.
+    """Routers of one test and the stand-ins around them.
 
     Attributes:
-        store: The store.
-        runners: The endpoints by name.
-        routers: The routers, in the order of their start.
-        http: Client for callers.
+        store: Stand-in of the store.
+        runners: Stand-ins of endpoints by name.
+        addresses: Their addresses by name.
+        routers: Routers in the order of their start.
+        http: HTTP client of callers.
+        stack: Stops stand-ins and routers at the end of the test.
+        store_address: Address of the store.
     """
 
     store: StoreStandin
@@ -122,7 +125,11 @@
         self.store.put(table=Table.ENDPOINTS, key=name, value=entry)
 
     async def add_router(self, **fields: Any) -> RunningForwarder:
-        """Start a router that knows those before it."""
+        """Start a router with the earlier routers as seeds.
+
+        Args:
+            fields: Settings that differ from the defaults.
+        """
         links = Links()
         source = StoreSource(
             address=fields.pop("store", self.store_address),
@@ -170,7 +177,7 @@
         router: int = 0,
         headers: Mapping[bytes, bytes] | None = None,
     ) -> httpcore.Response:
-        """Send a request as a caller does, and read its answer."""
+        """Send a request as a caller and read the answer."""
         return await self.http.request(
             method,
             self.url(path, router=router),
@@ -179,7 +186,7 @@
         )
 
     def url(self, path: str, *, router: int = 0) -> httpcore.URL:
-        """Where a path is at a router."""
+        """Return the URL of a path at a router."""
         address = self.routers[router].callers
         return httpcore.URL(
             scheme=b"http",
@@ -189,10 +196,10 @@
         )
 
     def headers(self, extra: Mapping[bytes, bytes] | None = None) -> Headers:
-        """Headers of a caller's request with an id of its own."""
+        """Return a caller's headers with a new request id."""
         return {
             b"host": HOST.encode(),
-            Header.REQUEST_ID: b"request-%d" % next(_numbers),
+            Header.REQUEST_ID: b"request-%d" % next(_request_numbers),
             Header.TIME_LEFT_MS: b"5000",
             Header.KEY: KEY.encode(),
             **(extra or {}),
@@ -206,9 +213,9 @@
     """Run stand-ins and routers until the context ends.
 
     Args:
-        runners: Endpoints.
-        routers: Routers.
-        fields: Fields of the configuration that differ.
+        runners: Number of endpoints.
+        routers: Number of routers.
+        fields: Fields of the configuration that differ from the defaults.
     """
     store = StoreStandin()
     store.configure(configuration=configuration(**fields))
@@ -233,7 +240,7 @@
     """Wait until a condition holds.
 
     Raises:
-        TimeoutError: If it does not within the limit.
+        TimeoutError: If it does not hold within the time limit.
     """
     with anyio.fail_after(WAIT_TIMEOUT_SECONDS):
         while not condition():
--- a/dotterelpaddle/tests/forwarding/test_callers.py
+++ b/dotterelpaddle/tests/forwarding/test_callers.py
@@ -1,4 +1,4 @@
-"""Callers' connections and their limits."""
+"""Tests of caller connections and their limits."""
 
 from __future__ import annotations
 
@@ -22,8 +22,8 @@
     return b"GET /safe/ HTTP/1.1\r\n" + b"\r\n".join(lines) + b"\r\n\r\n"
 
 
-async def _closed(stream: anyio.abc.SocketStream) -> bytes:
-    """Read until the other end closes."""
+async def _read_until_closed(stream: anyio.abc.SocketStream) -> bytes:
+    """Read until the router closes the connection."""
     content = b""
     with anyio.fail_after(10):
         try:
@@ -44,14 +44,14 @@
     async with run_fleet(limits=LIMITS) as fleet, await _connect(fleet) as stream:
         await stream.send(b"GET /safe/ HTTP/1.1\r\nhost: a")
 
-        assert await _closed(stream) == b""
+        assert await _read_until_closed(stream) == b""
 
 
 async def test_head_over_the_limit_is_refused() -> None:
     async with run_fleet(limits=LIMITS) as fleet, await _connect(fleet) as stream:
         await stream.send(b"GET /safe/ HTTP/1.1\r\nx-long: " + b"x" * 3000)
 
-        assert (await _closed(stream)).startswith(b"HTTP/1.1 431 ")
+        assert (await _read_until_closed(stream)).startswith(b"HTTP/1.1 431 ")
         assert not fleet.runners["runner-1"].received
 
 
@@ -59,6 +59,6 @@
     limits = {**LIMITS, "idleTimeoutMs": 150}
     async with run_fleet(limits=limits) as fleet, await _connect(fleet) as stream:
         await stream.send(_request(fleet))
-        content = await _closed(stream)
+        content = await _read_until_closed(stream)
 
     assert b"200 OK" in content
--- a/dotterelpaddle/tests/forwarding/test_faults.py
+++ b/dotterelpaddle/tests/forwarding/test_faults.py
@@ -1,4 +1,4 @@
-"""What callers get when endpoints fail, by what may be repeated."""
+"""Tests of the answers to callers when endpoints fail, by kind of route."""
 
 from __future__ import annotations
 
@@ -43,7 +43,7 @@
 HAS_NOT_RUN = [Refuse(), Refuse(status=429), WrongEndpoint()]
 CLOSED = Address(host="127.0.0.1", port=1)
 SLOW_CONNECT = 0.3
-"""Seconds that a busy host takes until a connection stands."""
+"""Seconds that a busy host takes to accept a connection."""
 EVENTS = b"".join(b"id: %d\ndata: e%d\n\n" % (n, n) for n in range(1, 6))
 
 
@@ -56,7 +56,10 @@
 
 
 def _plan_first(fleet: Fleet, *behaviours: Behaviour) -> None:
-    """Let whichever endpoint gets the next requests behave so, the others serve."""
+    """Let the next requests meet these behaviours, at whichever endpoint.
+
+    Endpoints serve all later requests normally.
+    """
     shared = deque(behaviours)
     for runner in fleet.runners.values():
         runner.plan = shared
--- a/dotterelpaddle/tests/forwarding/test_flow.py
+++ b/dotterelpaddle/tests/forwarding/test_flow.py
@@ -1,4 +1,4 @@
-"""Requests through a router, from callers' sockets to endpoints' sockets."""
+"""Tests of requests through a router, from callers' to endpoints' sockets."""
 
 from __future__ import annotations
 
--- a/dotterelpaddle/tests/forwarding/test_metrics.py
+++ b/dotterelpaddle/tests/forwarding/test_metrics.py
@@ -1,4 +1,4 @@
-"""What operators can read of a router that forwards."""
+"""Tests of the metrics that a forwarding router serves."""
 
 from __future__ import annotations
 
@@ -16,8 +16,8 @@
 pytestmark = pytest.mark.anyio
 
 
-async def _page(fleet: Fleet) -> dict[str, float]:
-    """Fetch the metrics of the first router, by name and labels."""
+async def _fetch_metrics(fleet: Fleet) -> dict[str, float]:
+    """Return the metrics of the first router by name and labels."""
     control = fleet.routers[0].control
     url = httpcore.URL(
         scheme=b"http",
@@ -36,7 +36,7 @@
         await fleet.call("/safe/")
         await fleet.call("/safe/")
         await fleet.call("/nowhere/")
-        page = await _page(fleet)
+        page = await _fetch_metrics(fleet)
 
     counted = {name: count for name, count in page.items() if "requests_total" in name}
     served = 'dotterelpaddle_requests_total{kind="idempotent",outcome="completed"'
@@ -48,7 +48,7 @@
 async def test_choices_are_counted_by_why_no_owner_made_them() -> None:
     async with run_fleet(runners=2) as fleet:
         await fleet.call("/safe/")
-        page = await _page(fleet)
+        page = await _fetch_metrics(fleet)
 
     labels = f'{{alone_because="no_owner",service="{SERVICE}"}}'
     assert page[f"dotterelpaddle_choices_total{labels}"] == 1
@@ -59,7 +59,7 @@
         for runner in fleet.runners.values():
             runner.plan.append(Fail(status=500))
         await fleet.call("/safe/")
-        page = await _page(fleet)
+        page = await _fetch_metrics(fleet)
 
     labels = f'{{error="FailedAnswer",service="{SERVICE}"}}'
     assert page[f"dotterelpaddle_attempts_failed_total{labels}"] == 2
@@ -68,11 +68,11 @@
 async def test_state_is_told_as_it_is_now() -> None:
     async with run_fleet(runners=2, routers=2, version=7) as fleet:
         view = fleet.routers[0].parts.state.view
-        first = await _page(fleet)
+        first = await _fetch_metrics(fleet)
         name = next(iter(fleet.runners))
         fleet.store.remove(table="servers", key=name)
         await wait_until(lambda: len(view.entries) == 1)
-        later = await _page(fleet)
+        later = await _fetch_metrics(fleet)
 
     assert first["dotterelpaddle_configuration_version"] == 7
     assert first["dotterelpaddle_peers"] == 1
--- a/dotterelpaddle/tests/forwarding/test_termination_probes.py
+++ b/dotterelpaddle/tests/forwarding/test_termination_probes.py
@@ -1,4 +1,4 @@
-"""Endpoints that ended are told from those that lost one answer."""
+"""Tests that probes distinguish terminated endpoints from lost answers."""
 
 from __future__ import annotations
 
@@ -32,8 +32,8 @@
 CLOSED = Address(host="127.0.0.1", port=1)
 
 
-class Looked:
-    """Looks at endpoints, and what came of it."""
+class ProbeHarness:
+    """A prober with the trackers that it reports to."""
 
     def __init__(self) -> None:
         backend = LinkedBackend(links=Links())
@@ -46,7 +46,7 @@
             failure_domain=FailureDomain("here"),
             clock=monotonic,
         )
-        self.endings = TerminationProber(
+        self.prober = TerminationProber(
             backend=backend,
             reachability=self.reachability,
             crashes=self.crashes,
@@ -54,10 +54,10 @@
             clock=monotonic,
         )
 
-    def broke_off(self, *, address: Address, **fields: object) -> None:
-        """Let some endpoints at an address break off under one request."""
+    def report_broken(self, *, address: Address, **fields: object) -> None:
+        """Report connections broken during one request, enough of them to block it."""
         for number in range(MIN_CRASHES_TO_BLOCK):
-            self.endings.report_broken_connection(
+            self.prober.report_broken_connection(
                 entry=make_entry(f"engine-{number}", address=address, **fields),
                 fingerprint=CULPRIT,
                 answer_begun=True,
@@ -74,45 +74,48 @@
 
 
 @asynccontextmanager
-async def _looking() -> AsyncIterator[Looked]:
-    looked = Looked()
+async def _run_prober() -> AsyncIterator[ProbeHarness]:
+    harness = ProbeHarness()
     async with anyio.create_task_group() as tasks:
-        tasks.start_soon(looked.endings.run)
-        yield looked
+        tasks.start_soon(harness.prober.run)
+        yield harness
         tasks.cancel_scope.cancel()
 
 
 async def test_endpoints_that_refuse_connections_have_ended() -> None:
-    async with _looking() as looked:
-        looked.broke_off(address=CLOSED)
-        await wait_until(lambda: looked.is_blocked)
+    async with _run_prober() as harness:
+        harness.report_broken(address=CLOSED)
+        await wait_until(lambda: harness.is_blocked)
 
     entry = make_entry("engine-0", address=CLOSED)
-    assert looked.reachability.reachable(entries=[entry]) == []
+    assert harness.reachability.reachable(entries=[entry]) == []
 
 
 async def test_endpoints_that_lost_an_answer_have_not() -> None:
-    """Guards against refusals to callers where answers are lost and nothing ends."""
+    """Guards against blocking a request because its answers were lost.
+
+    Its endpoints still accept connections, so none of them terminated.
+    """
     async with await anyio.create_tcp_listener(local_host="127.0.0.1") as listener:
         port = listener.extra(SocketAttribute.local_port)
-        async with _looking() as looked:
-            looked.broke_off(address=Address(host="127.0.0.1", port=port))
-            await wait_until(lambda: not looked.endings._pending)
+        async with _run_prober() as harness:
+            harness.report_broken(address=Address(host="127.0.0.1", port=port))
+            await wait_until(lambda: not harness.prober._pending)
 
-    assert looked.crashes.suspect_count == 0
+    assert harness.crashes.suspect_count == 0
 
 
 async def test_end_of_an_endpoint_whose_entry_says_it_leaves_says_nothing() -> None:
-    async with _looking() as looked:
-        looked.broke_off(address=CLOSED, state=EndpointState.DRAINING)
+    async with _run_prober() as harness:
+        harness.report_broken(address=CLOSED, state=EndpointState.DRAINING)
 
-        assert not looked.endings._pending
+        assert not harness.prober._pending
 
 
 async def test_end_of_an_endpoint_whose_answer_said_it_leaves_says_nothing() -> None:
-    async with _looking() as looked:
+    async with _run_prober() as harness:
         for number in range(MIN_CRASHES_TO_BLOCK):
-            looked.leaving.record(endpoint=EndpointId(f"engine-{number}"))
-        looked.broke_off(address=CLOSED)
+            harness.leaving.record(endpoint=EndpointId(f"engine-{number}"))
+        harness.report_broken(address=CLOSED)
 
-        assert not looked.endings._pending
+        assert not harness.prober._pending
--- a/dotterelpaddle/tests/platform/test_configuration.py
+++ b/dotterelpaddle/tests/platform/test_configuration.py
@@ -1,4 +1,4 @@
-"""Configurations of which most is as before."""
+"""Tests of decoding configurations that reuse earlier routes."""
 
 from __future__ import annotations
 
--- a/dotterelpaddle/tests/platform/test_operator_rows.py
+++ b/dotterelpaddle/tests/platform/test_operator_rows.py
@@ -1,4 +1,4 @@
-"""The operator's rows, as they come from the store."""
+"""Tests of decoding the operator's rows from the store."""
 
 from __future__ import annotations
 
@@ -62,7 +62,7 @@
 
 
 def test_row_that_can_not_be_decoded_changes_nothing() -> None:
-    """Guards against a domain that is taken back by a row that says nothing."""
+    """Guards against ending an evacuation because of an undecodable row."""
     view = FleetView(clock=lambda: 0.0)
     _decode(_row("evacuate/hall-a", 4), revision=4, view=view)
     _decode(
--- a/dotterelpaddle/tests/platform/test_protocols.py
+++ b/dotterelpaddle/tests/platform/test_protocols.py
@@ -1,4 +1,4 @@
-"""Translation of the platform's wire, row by row and header by header."""
+"""Tests of decoding and encoding the platform's rows and headers."""
 
 from __future__ import annotations
 
--- a/dotterelpaddle/tests/platform/test_retry_after.py
+++ b/dotterelpaddle/tests/platform/test_retry_after.py
@@ -1,4 +1,4 @@
-"""How long endpoints ask to be left alone."""
+"""Tests of decoding the Retry-After header."""
 
 from __future__ import annotations
 
--- a/dotterelpaddle/tests/platform/test_rows.py
+++ b/dotterelpaddle/tests/platform/test_rows.py
@@ -1,4 +1,4 @@
-"""Rows of the store by whoever wrote them."""
+"""Tests of decoding store rows of endpoints and of unknown writers."""
 
 from __future__ import annotations
 
@@ -27,7 +27,7 @@
 
 
 class _Lines:
-    """Takes log lines in place of the log."""
+    """Records log lines in place of the logger."""
 
     def __init__(self, monkeypatch: pytest.MonkeyPatch) -> None:
         self.lines: list[dict[str, Any]] = []
@@ -74,7 +74,7 @@
 
 
 def test_fault_of_a_row_is_logged_once(monkeypatch: pytest.MonkeyPatch) -> None:
-    """A row that is written anew with each heartbeat keeps its fault."""
+    """Guards against a log line per heartbeat: each rewrites the faulty row."""
     rows, lines = (
         EntryRowDecoder(documents=PlatformDocumentDecoder()),
         _Lines(monkeypatch),
