--- a/dotterelpaddle/tests/daemon/test_process.py
+++ b/dotterelpaddle/tests/daemon/test_process.py
@@ -64,7 +64,7 @@
         process.communicate()
 
 
-def test_daemon_without_settings_says_what_to_set() -> None:
+def test_daemon_without_settings_names_the_variable() -> None:
     environment = {**os.environ, "DOTTERELPADDLE_SETTINGS": ""}
     ended = subprocess.run(COMMAND, env=environment, capture_output=True, check=False)
 
@@ -72,7 +72,7 @@
     assert b"set DOTTERELPADDLE_SETTINGS" in ended.stderr
 
 
-def test_daemon_loads_nothing_that_it_never_runs() -> None:
+def test_daemon_imports_no_unused_modules() -> None:
     listing = (
         "import sys, dotterelpaddle.daemon.unused_imports;"
         "dotterelpaddle.daemon.unused_imports.skip_unused_imports();"
@@ -89,7 +89,7 @@
     assert not loaded & {"importlib.resources", "tempfile", "logging.handlers"}
 
 
-async def test_daemon_serves_and_stops_when_told(tmp_path: Path) -> None:
+async def test_daemon_serves_and_stops_on_a_signal(tmp_path: Path) -> None:
     store, runner = StoreStandin(), RunnerStandin(name="runner-1")
     store.configure(configuration=configuration())
     callers, readiness = _free_address(), _free_address()
--- a/dotterelpaddle/tests/forwarding/test_callers.py
+++ b/dotterelpaddle/tests/forwarding/test_callers.py
@@ -40,7 +40,7 @@
             assert b"200 OK" in await stream.receive()
 
 
-async def test_head_that_does_not_end_is_given_up() -> None:
+async def test_connection_with_unfinished_head_is_closed() -> None:
     async with run_fleet(limits=LIMITS) as fleet, await _connect(fleet) as stream:
         await stream.send(b"GET /safe/ HTTP/1.1\r\nhost: a")
 
--- a/dotterelpaddle/tests/forwarding/test_faults.py
+++ b/dotterelpaddle/tests/forwarding/test_faults.py
@@ -66,7 +66,7 @@
 
 
 @pytest.mark.parametrize("fault", MAY_HAVE_RUN + HAS_NOT_RUN, ids=repr)
-async def test_idempotent_request_goes_elsewhere(fault: Behaviour) -> None:
+async def test_idempotent_request_is_retried_elsewhere(fault: Behaviour) -> None:
     async with run_fleet(runners=2) as fleet:
         _plan_first(fleet, fault)
         answer = await fleet.call("/safe/")
@@ -99,7 +99,7 @@
 
 
 @pytest.mark.parametrize("fault", MAY_HAVE_RUN, ids=repr)
-async def test_other_request_runs_once_at_most(fault: Behaviour) -> None:
+async def test_non_idempotent_request_runs_at_most_once(fault: Behaviour) -> None:
     async with run_fleet(runners=2) as fleet:
         _plan_first(fleet, fault)
         answer = await fleet.call("/unsafe/")
@@ -110,7 +110,9 @@
 
 
 @pytest.mark.parametrize("fault", HAS_NOT_RUN, ids=repr)
-async def test_other_request_goes_elsewhere_on_proof(fault: Behaviour) -> None:
+async def test_non_idempotent_request_is_retried_only_on_proof(
+    fault: Behaviour,
+) -> None:
     async with run_fleet(runners=2) as fleet:
         _plan_first(fleet, fault)
         answer = await fleet.call("/unsafe/")
@@ -119,7 +121,7 @@
     assert _runs(fleet) == 1
 
 
-async def test_refusal_by_all_says_when_to_come_back() -> None:
+async def test_refusal_by_all_endpoints_sets_retry_after() -> None:
     async with run_fleet(runners=2) as fleet:
         _plan_first(fleet, *[Refuse()] * 20)
         answer = await fleet.call("/unsafe/")
@@ -131,7 +133,7 @@
 
 
 @pytest.mark.parametrize("status", [408, 429, 503])
-async def test_failure_that_has_run_is_no_promise(status: int) -> None:
+async def test_failed_run_is_not_reported_as_not_executed(status: int) -> None:
     async with run_fleet() as fleet:
         _plan_first(fleet, Fail(status=status))
         answer = await fleet.call("/unsafe/")
@@ -141,7 +143,7 @@
     assert Header.ORIGIN_PROOF not in headers
 
 
-async def test_failed_answer_is_passed_on_as_it_is() -> None:
+async def test_failed_answer_is_forwarded_unchanged() -> None:
     async with run_fleet() as fleet:
         _plan_first(fleet, Fail(status=500))
         answer = await fleet.call("/unsafe/")
@@ -152,7 +154,7 @@
     assert b"runner-1" in answer.content
 
 
-async def test_answer_without_length_is_whole_at_its_end() -> None:
+async def test_answer_without_length_ends_with_its_connection() -> None:
     async with run_fleet() as fleet:
         _plan_first(fleet, Unframed())
         answer = await fleet.call("/unsafe/")
@@ -162,7 +164,7 @@
 
 
 @pytest.mark.parametrize("late_id", [b"late", b""])
-async def test_late_answer_goes_to_no_other_request(late_id: bytes) -> None:
+async def test_late_answer_reaches_no_other_request(late_id: bytes) -> None:
     async with run_fleet() as fleet:
         _plan_first(fleet, ExtraAnswer(request_id=late_id))
         first = await fleet.call("/safe/")
@@ -185,7 +187,7 @@
 
 
 @pytest.mark.parametrize("fault", [CutAnswer(events=2), CutAnswer(events=0)], ids=repr)
-async def test_stream_goes_on_elsewhere(fault: Behaviour) -> None:
+async def test_stream_resumes_elsewhere(fault: Behaviour) -> None:
     async with run_fleet(runners=2) as fleet:
         _plan_first(fleet, fault)
         answer = await fleet.call("/stream/again/x")
@@ -194,7 +196,7 @@
     assert answer.content == EVENTS
 
 
-async def test_silent_stream_goes_on_elsewhere_and_its_run_is_cut() -> None:
+async def test_silent_stream_resumes_elsewhere_and_its_run_is_cancelled() -> None:
     async with run_fleet(runners=2) as fleet:
         _plan_first(fleet, Hang(events=2))
         answer = await fleet.call("/stream/again/x")
@@ -206,7 +208,7 @@
     assert len(closed) == 1
 
 
-async def test_stream_that_may_not_go_on_is_cut_visibly() -> None:
+async def test_stream_that_is_not_resumable_is_cut_visibly() -> None:
     async with run_fleet(runners=2) as fleet:
         _plan_first(fleet, CutAnswer(events=2))
         with pytest.raises(httpcore.RemoteProtocolError):
@@ -215,7 +217,7 @@
     assert _runs(fleet) == 1
 
 
-async def test_repeats_stop_where_the_route_says() -> None:
+async def test_retries_stop_at_the_routes_limit() -> None:
     async with run_fleet(runners=3) as fleet:
         _plan_first(fleet, *[LoseAnswer()] * 10)
         answer = await fleet.call("/safe/")
@@ -224,7 +226,7 @@
     assert _runs(fleet) == 2
 
 
-async def test_answer_that_does_not_come_is_told_at_the_routes_timeout() -> None:
+async def test_missing_answer_is_an_error_at_the_routes_timeout() -> None:
     routes = [route("short", "idempotent", timeoutMs=300, maxAttempts=1)]
     async with run_fleet(runners=2, routes=routes) as fleet:
         _plan_first(fleet, Hang())
@@ -234,7 +236,7 @@
     assert answer.status == 504
 
 
-async def test_endpoint_stops_when_its_caller_goes() -> None:
+async def test_endpoint_stops_when_its_caller_disconnects() -> None:
     async with run_fleet(runners=2) as fleet:
         _plan_first(fleet, Hang(events=2))
         request = httpcore.Request(
@@ -265,7 +267,7 @@
     assert statuses == [(200, EVENTS)]
 
 
-async def test_address_of_another_endpoint_gets_no_second_try() -> None:
+async def test_address_of_another_endpoint_gets_no_second_attempt() -> None:
     async with run_fleet(runners=1) as fleet:
         _plan_first(fleet, WrongEndpoint(), Serve())
         first = await fleet.call("/unsafe/")
@@ -275,7 +277,7 @@
 
 
 @pytest.mark.parametrize("path", ["/unsafe/", "/safe/", "/stream/x"])
-async def test_what_reached_no_endpoint_may_be_repeated(path: str) -> None:
+async def test_request_that_reached_no_endpoint_may_be_retried(path: str) -> None:
     async with run_fleet(runners=0) as fleet:
         await fleet.add_runner("runner-1")
         fleet.addresses["runner-1"] = CLOSED
--- a/dotterelpaddle/tests/forwarding/test_flow.py
+++ b/dotterelpaddle/tests/forwarding/test_flow.py
@@ -15,7 +15,7 @@
 pytestmark = pytest.mark.anyio
 
 
-async def test_request_goes_on_unchanged() -> None:
+async def test_request_is_forwarded_unchanged() -> None:
     async with run_fleet() as fleet:
         answer = await fleet.call(
             "/unsafe/a/b?c=d", body=b"hello", headers={b"x-other": b"kept"}
@@ -30,7 +30,7 @@
     assert received.headers[b"host"] == b"a.example"
 
 
-async def test_answer_comes_back_with_its_proof_of_origin() -> None:
+async def test_answer_keeps_its_proof_of_origin() -> None:
     async with run_fleet() as fleet:
         answer = await fleet.call("/safe/")
 
@@ -39,7 +39,7 @@
     assert b"runner-1" in answer.content
 
 
-async def test_endpoint_learns_who_asks_and_not_the_key() -> None:
+async def test_endpoint_receives_the_account_and_not_the_key() -> None:
     async with run_fleet() as fleet:
         await fleet.call("/safe/", headers={Header.ACCOUNT: b"somebody-else"})
 
@@ -48,7 +48,7 @@
     assert Header.KEY not in received.headers
 
 
-async def test_endpoint_learns_who_is_meant_and_what_time_is_left() -> None:
+async def test_endpoint_receives_its_name_and_the_time_left() -> None:
     async with run_fleet() as fleet:
         await fleet.call("/safe/", headers={Header.TIME_LEFT_MS: b"1000"})
 
@@ -77,7 +77,7 @@
         Header.EXPECTED_VERSION,
     ],
 )
-async def test_headers_that_are_the_routers_to_set_do_not_go_on(header: bytes) -> None:
+async def test_router_only_headers_are_not_forwarded(header: bytes) -> None:
     async with run_fleet() as fleet:
         await fleet.call("/safe/", headers={header: b"1"})
 
@@ -85,7 +85,7 @@
     assert header not in received.headers
 
 
-async def test_headers_of_one_connection_do_not_go_on() -> None:
+async def test_hop_by_hop_headers_are_not_forwarded() -> None:
     headers = {b"connection": b"x-hop", b"x-hop": b"1", b"te": b"trailers"}
 
     async with run_fleet() as fleet:
@@ -107,7 +107,7 @@
         ("/safe/", {Header.TIME_LEFT_MS: b"soon"}, 400),
     ],
 )
-async def test_what_is_not_allowed_is_said_at_once(
+async def test_requests_are_checked_before_forwarding(
     path: str, headers: dict[bytes, bytes], status: int
 ) -> None:
     async with run_fleet() as fleet:
@@ -132,7 +132,7 @@
     assert answer.content.count(b"id: ") == 5
 
 
-async def test_events_come_whole_and_in_order() -> None:
+async def test_events_arrive_complete_and_in_order() -> None:
     async with run_fleet() as fleet:
         answer = await fleet.call("/stream/x")
 
@@ -140,7 +140,7 @@
     assert answer.content == b"".join(events)
 
 
-async def test_callers_last_event_goes_on() -> None:
+async def test_callers_last_event_id_is_forwarded() -> None:
     async with run_fleet() as fleet:
         answer = await fleet.call(
             "/stream/again/x", headers={Header.LAST_EVENT_ID: b"3"}
--- a/dotterelpaddle/tests/forwarding/test_metrics.py
+++ b/dotterelpaddle/tests/forwarding/test_metrics.py
@@ -45,7 +45,7 @@
     assert page['dotterelpaddle_request_seconds_count{kind="idempotent"}'] == 2
 
 
-async def test_choices_are_counted_by_why_no_owner_made_them() -> None:
+async def test_choices_are_counted_by_reason_of_the_local_choice() -> None:
     async with run_fleet(runners=2) as fleet:
         await fleet.call("/safe/")
         page = await _fetch_metrics(fleet)
@@ -65,7 +65,7 @@
     assert page[f"dotterelpaddle_attempts_failed_total{labels}"] == 2
 
 
-async def test_state_is_told_as_it_is_now() -> None:
+async def test_metrics_show_the_current_state() -> None:
     async with run_fleet(runners=2, routers=2, version=7) as fleet:
         view = fleet.routers[0].parts.state.view
         first = await _fetch_metrics(fleet)
--- a/dotterelpaddle/tests/forwarding/test_termination_probes.py
+++ b/dotterelpaddle/tests/forwarding/test_termination_probes.py
@@ -82,7 +82,7 @@
         tasks.cancel_scope.cancel()
 
 
-async def test_endpoints_that_refuse_connections_have_ended() -> None:
+async def test_endpoints_that_refuse_connections_have_terminated() -> None:
     async with _run_prober() as harness:
         harness.report_broken(address=CLOSED)
         await wait_until(lambda: harness.is_blocked)
@@ -91,7 +91,7 @@
     assert harness.reachability.reachable(entries=[entry]) == []
 
 
-async def test_endpoints_that_lost_an_answer_have_not() -> None:
+async def test_endpoints_that_lost_an_answer_have_not_terminated() -> None:
     """Guards against blocking a request because its answers were lost.
 
     Its endpoints still accept connections, so none of them terminated.
@@ -105,14 +105,14 @@
     assert harness.crashes.suspect_count == 0
 
 
-async def test_end_of_an_endpoint_whose_entry_says_it_leaves_says_nothing() -> None:
+async def test_termination_of_a_draining_endpoint_is_ignored() -> None:
     async with _run_prober() as harness:
         harness.report_broken(address=CLOSED, state=EndpointState.DRAINING)
 
         assert not harness.prober._pending
 
 
-async def test_end_of_an_endpoint_whose_answer_said_it_leaves_says_nothing() -> None:
+async def test_termination_of_a_leaving_endpoint_is_ignored() -> None:
     async with _run_prober() as harness:
         for number in range(MIN_CRASHES_TO_BLOCK):
             harness.leaving.record(endpoint=EndpointId(f"engine-{number}"))
--- a/dotterelpaddle/tests/platform/test_configuration.py
+++ b/dotterelpaddle/tests/platform/test_configuration.py
@@ -16,7 +16,7 @@
     return orjson.dumps(configuration(version=version, routes=routes, **fields))
 
 
-def test_routes_that_did_not_change_are_taken_over() -> None:
+def test_unchanged_routes_are_reused() -> None:
     decoder = ConfigurationDecoder()
     first = decoder.decode(document=_document(1, "a", "b"))
 
@@ -27,7 +27,7 @@
     assert second.version == 2
 
 
-def test_changed_route_is_decoded_anew() -> None:
+def test_changed_route_is_decoded_again() -> None:
     decoder = ConfigurationDecoder()
     decoder.decode(document=_document(1, "a"))
     changed = configuration(
@@ -39,7 +39,7 @@
     assert again.timeout == 9.0
 
 
-def test_unusable_configuration_spoils_nothing_of_the_next() -> None:
+def test_invalid_configuration_does_not_affect_the_next() -> None:
     decoder = ConfigurationDecoder()
     decoder.decode(document=_document(1, "a"))
     broken = configuration(version=2, routes=[route("a", "idempotent"), {"name": "x"}])
@@ -50,7 +50,7 @@
     assert len(decoder.decode(document=_document(3, "a", "b")).routes) == 2
 
 
-def test_services_say_what_their_cold_endpoints_bear() -> None:
+def test_cold_capacity_of_services_is_decoded() -> None:
     services = [
         {"name": "engines", "coldS": 3.0, "coldPerS": 9.2},
         {"name": "records", "coldS": 0.0, "coldPerS": 0.0},
--- a/dotterelpaddle/tests/platform/test_operator_rows.py
+++ b/dotterelpaddle/tests/platform/test_operator_rows.py
@@ -30,7 +30,7 @@
     )
 
 
-def test_configuration_and_evacuations_are_told_apart() -> None:
+def test_configuration_and_evacuations_are_distinguished() -> None:
     view = FleetView(clock=lambda: 0.0)
     _decode(
         _row("config", 3, configuration(version=7)),
@@ -52,7 +52,7 @@
         ("evacuate/hall-a", b"\xff", "value"),
     ],
 )
-def test_row_that_asks_for_no_evacuation_names_its_field(
+def test_error_of_an_invalid_evacuation_names_the_field(
     key: str, value: bytes, field: str
 ) -> None:
     with pytest.raises(RecordError) as raised:
@@ -61,7 +61,7 @@
     assert raised.value.field == field
 
 
-def test_row_that_can_not_be_decoded_changes_nothing() -> None:
+def test_undecodable_row_changes_nothing() -> None:
     """Guards against ending an evacuation because of an undecodable row."""
     view = FleetView(clock=lambda: 0.0)
     _decode(_row("evacuate/hall-a", 4), revision=4, view=view)
--- a/dotterelpaddle/tests/platform/test_protocols.py
+++ b/dotterelpaddle/tests/platform/test_protocols.py
@@ -68,7 +68,7 @@
 
 
 @given(st.binary(max_size=40))
-def test_any_prompt_header_is_read_or_left_out(text: bytes) -> None:
+def test_any_prompt_header_is_decoded_or_skipped(text: bytes) -> None:
     request = PROTOCOLS.decode_request(scope=_scope({Header.PROMPT_PREFIX: text}))
 
     assert all(part.tokens >= 0 for part in request.prompt)
@@ -82,7 +82,7 @@
         PROTOCOLS.decode_request(scope=scope)
 
 
-def test_endpoint_gets_what_it_has_to_know() -> None:
+def test_request_metadata_is_encoded() -> None:
     request = PROTOCOLS.decode_request(
         scope=_scope({Header.PROMPT_PREFIX: b"aa:1,bb:2"})
     )
@@ -184,7 +184,7 @@
     assert entry.revision == 4
 
 
-def test_start_of_an_endpoint_is_part_of_what_it_is_known_by() -> None:
+def test_incarnation_is_part_of_the_endpoint_id() -> None:
     entry = DOCUMENTS.endpoint(
         name=EndpointName("i-1"),
         document=orjson.dumps({**ENTRY, "born": 1733000000123}),
--- a/dotterelpaddle/tests/platform/test_retry_after.py
+++ b/dotterelpaddle/tests/platform/test_retry_after.py
@@ -49,7 +49,7 @@
 
 
 @given(st.binary(max_size=40))
-def test_noise_is_no_error(noise: bytes) -> None:
+def test_random_bytes_are_no_error(noise: bytes) -> None:
     seconds = decode_retry_after(headers={Header.RETRY_AFTER: noise})
 
     assert seconds is None or seconds >= 0.0
--- a/dotterelpaddle/tests/platform/test_rows.py
+++ b/dotterelpaddle/tests/platform/test_rows.py
@@ -105,7 +105,7 @@
 
 
 @given(st.binary(max_size=64))
-def test_noise_names_no_endpoint(noise: bytes) -> None:
+def test_random_bytes_name_no_endpoint(noise: bytes) -> None:
     entries, removed = EntryRowDecoder(documents=PlatformDocumentDecoder()).decode(
         rows=[_row("a", 1, noise)]
     )
@@ -115,6 +115,6 @@
 
 
 @pytest.mark.parametrize("row", [None, {}, {"key": 1, "ver": 1}, {"key": "a"}])
-def test_answer_with_rows_that_the_store_can_not_mean_is_none(row: object) -> None:
+def test_answer_with_invalid_rows_is_refused(row: object) -> None:
     with pytest.raises(PlatformUnavailable, match="10.0.0.9"):
         check_rows(rows=[row], peer="10.0.0.9:1")
