--- a/dotterelpaddle/tests/platform/test_rows.py
+++ b/dotterelpaddle/tests/platform/test_rows.py
@@ -1,4 +1,4 @@
-"""Rows of the store by whoever wrote them."""
+"""Tests of decoding store rows of endpoints and of unknown writers."""
 
 from __future__ import annotations
 
@@ -27,7 +27,7 @@
 
 
 class _Lines:
-    """Takes log lines in place of the log."""
+    """Records log lines in place of the logger."""
 
     def __init__(self, monkeypatch: pytest.MonkeyPatch) -> None:
         self.lines: list[dict[str, Any]] = []
@@ -74,7 +74,7 @@
 
 
 def test_fault_of_a_row_is_logged_once(monkeypatch: pytest.MonkeyPatch) -> None:
-    """A row that is written anew with each heartbeat keeps its fault."""
+    """Guards against a log line per heartbeat: each rewrites the faulty row."""
     rows, lines = (
         EntryRowDecoder(documents=PlatformDocumentDecoder()),
         _Lines(monkeypatch),
@@ -105,7 +105,7 @@
 
 
 @given(st.binary(max_size=64))
-def test_noise_names_no_endpoint(noise: bytes) -> None:
+def test_random_bytes_name_no_endpoint(noise: bytes) -> None:
     entries, removed = EntryRowDecoder(documents=PlatformDocumentDecoder()).decode(
         rows=[_row("a", 1, noise)]
     )
@@ -115,6 +115,6 @@
 
 
 @pytest.mark.parametrize("row", [None, {}, {"key": 1, "ver": 1}, {"key": "a"}])
-def test_answer_with_rows_that_the_store_can_not_mean_is_none(row: object) -> None:
+def test_answer_with_invalid_rows_is_refused(row: object) -> None:
     with pytest.raises(PlatformUnavailable, match="10.0.0.9"):
         check_rows(rows=[row], peer="10.0.0.9:1")
