--- a/dotterelpaddle/forwarding/app.py
+++ b/dotterelpaddle/forwarding/app.py
@@ -248,9 +248,9 @@
         self._metrics.count_request(exchange=exchange, seconds=seconds)
         status = reply.status
         refused = status in NOT_EXECUTED_STATUSES
-        begun = seconds
+        answer_start_seconds = seconds
         if reply.started_at is not None:
-            begun = reply.started_at - exchange.received_at
+            answer_start_seconds = reply.started_at - exchange.received_at
         log.info(
             "request_ended",
             keep=refused and route is not None and not route.retryable,
@@ -259,7 +259,7 @@
             route=route.name if route else "",
             kind=route.kind.value if route else "",
             objective=route.latency_objective if route else 0.0,
-            begun=round(begun, 4),
+            begun=round(answer_start_seconds, 4),
             pause_objective=route.gap_objective if route else 0.0,
             longest_pause=round(reply.longest_pause, 4),
             service=exchange.service or "",
