--- a/dotterelpaddle/peers/fetching.py
+++ b/dotterelpaddle/peers/fetching.py
@@ -39,8 +39,8 @@
 """Time between checks whether another router has newer state."""
 
 MIN_CHECKS_BEHIND = 2
-"""Consecutive checks that must find newer endpoints at another router before this one
-fetches them: it calls the platform first, which takes 4 ms."""
+"""Consecutive checks that must find newer endpoints at a peer before a router fetches
+them from that peer: it calls the platform first, which takes 4 ms."""
 
 START_CHECK_INTERVAL_SECONDS = 0.03
 """Time between checks while this router doesn't know the endpoints' cached parts."""
