--- a/dotterelpaddle/tests/owners/test_incident.py
+++ b/dotterelpaddle/tests/owners/test_incident.py
@@ -97,7 +97,7 @@
 
 def test_local_decisions_on_stale_counts_overload_endpoints() -> None:
     """Reproduces the incident: no router knows an owner."""
-    arrivals = _run(_endpoints_come_and_go, decide_alone=True)
+    arrivals = _run(_endpoints_come_and_go, without_owners=True)
 
     assert (
         worst_over_bound_share(arrivals=arrivals, since=START_SECONDS + WARM_UP_SECONDS)
