--- a/dotterelpaddle/tests/owners/fleet.py
+++ b/dotterelpaddle/tests/owners/fleet.py
@@ -349,7 +349,7 @@
             **{
                 "revision": Revision(self.revision),
                 "entries": (),
-                "whole": False,
+                "is_snapshot": False,
                 **fields,
             }
         )
