--- a/dotterelpaddle/tests/owners/test_routers.py
+++ b/dotterelpaddle/tests/owners/test_routers.py
@@ -53,7 +53,7 @@
 async def _start(fleet: Fleet) -> OwnerProbe:
     await fleet.add_runner("runner-2")
     for link in (100, 100, 10, 1):
-        await fleet.add_router(link=link)
+        await fleet.add_router(link_mbps=link)
     owner = fleet.routers[OWNER].parts.state.directory.own.router
     for router in fleet.routers:
         directory = router.parts.state.directory
