--- a/dotterelpaddle/forwarding/loads.py
+++ b/dotterelpaddle/forwarding/loads.py
@@ -64,7 +64,7 @@
         return self._own_queued_tokens
 
     @property
-    def routers(self) -> int:
+    def router_count(self) -> int:
         """Number of routers whose requests count, this one included."""
         return self._totals.router_count
 
--- a/dotterelpaddle/forwarding/placement.py
+++ b/dotterelpaddle/forwarding/placement.py
@@ -287,7 +287,7 @@
             exact_loads: Whether `loads` already counts what other routers send.
             cached_at: Endpoint of another shard that has the shared prompt parts.
         """
-        large = not exact_loads and self._loads.routers > LARGE_FLEET_ROUTERS
+        large = not exact_loads and self._loads.router_count > LARGE_FLEET_ROUTERS
         fraction = self._generator.uniform(MIN_BOUND_FRACTION, 1.0) if large else 1.0
         within = [
             entry
@@ -378,7 +378,7 @@
         exact_loads: bool = False,
     ) -> Choice:
         compared = candidates
-        if not exact_loads and self._loads.routers > LARGE_FLEET_ROUTERS:
+        if not exact_loads and self._loads.router_count > LARGE_FLEET_ROUTERS:
             count = min(PROMPTLESS_SAMPLE_SIZE, len(candidates))
             compared = self._generator.sample(candidates, count)
         entry = min(
