--- a/dotterelpaddle/forwarding/components.py
+++ b/dotterelpaddle/forwarding/components.py
@@ -307,7 +307,7 @@
             sources=MetricsSources(
                 view=state.view,
                 loads=state.loads,
-                repeats=state.retry_budget,
+                retry_budget=state.retry_budget,
                 crashes=state.crashes,
                 directory=directory,
                 follower=follower,
--- a/dotterelpaddle/forwarding/metrics.py
+++ b/dotterelpaddle/forwarding/metrics.py
@@ -116,7 +116,7 @@
     Attributes:
         view: Active configuration and endpoints.
         loads: Requests in flight.
-        repeats: Retry budget.
+        retry_budget: Retry budget.
         crashes: Requests suspected to crash endpoints.
         directory: The other routers.
         follower: Provides the age of the last update from the platform.
@@ -124,7 +124,7 @@
 
     view: FleetView
     loads: LoadTracker
-    repeats: RetryBudget
+    retry_budget: RetryBudget
     crashes: CrashTracker
     directory: PeerDirectory
     follower: Follower
@@ -201,8 +201,8 @@
             self._in_flight.set(labels, loads[entry.endpoint])
         for service, count in counts.items():
             self._endpoints.set({"service": service}, count)
-        for service in sources.repeats.counts():
-            retries_left = max(0.0, sources.repeats.room(service=service))
+        for service in sources.retry_budget.counts():
+            retries_left = max(0.0, sources.retry_budget.room(service=service))
             self._retries_left.set({"service": service}, math.floor(retries_left))
 
 
