--- a/dotterelpaddle/forwarding/router.py
+++ b/dotterelpaddle/forwarding/router.py
@@ -38,14 +38,14 @@
     """A running router and its addresses.
 
     Attributes:
-        parts: Components of the router.
+        components: Components of the router.
         callers: Address for callers.
         readiness: Address of the readiness check.
         control: Address where other routers fetch state and operators metrics.
         peers: Address for datagrams of other routers.
     """
 
-    parts: Components
+    components: Components
     callers: Address
     readiness: Address
     control: Address
@@ -111,7 +111,7 @@
         )
         log.info("router_started", router=settings.router)
         yield RunningForwarder(
-            parts=parts,
+            components=parts,
             callers=callers,
             readiness=readiness,
             control=control,
--- a/dotterelpaddle/tests/forwarding/harness.py
+++ b/dotterelpaddle/tests/forwarding/harness.py
@@ -230,7 +230,7 @@
         for _ in range(routers):
             router = await fleet.add_router()
             await wait_until(lambda router=router: router.parts.app.ready)  # type: ignore[misc]
-        view = fleet.routers[0].parts.state.view if routers else None
+        view = fleet.routers[0].components.state.view if routers else None
         if view is not None:
             await wait_until(lambda: len(view.entries) == runners)
         yield fleet
--- a/dotterelpaddle/tests/forwarding/test_aggregation.py
+++ b/dotterelpaddle/tests/forwarding/test_aggregation.py
@@ -35,15 +35,17 @@
     for link in fleet_links:
         await fleet.add_router(link_mbps=link)
     member = await fleet.add_router(link_mbps=1, store=NO_STORE)
-    state = member.parts.state
-    await wait_until(lambda: not state.totals.is_aggregator and member.parts.app.ready)
+    state = member.components.state
+    await wait_until(
+        lambda: not state.totals.is_aggregator and member.components.app.ready
+    )
     return len(fleet.routers) - 1
 
 
 async def test_member_receives_configuration_and_endpoints_from_others() -> None:
     async with run_fleet(routers=0) as fleet:
         member = await _add_member(fleet)
-        view = fleet.routers[member].parts.state.view
+        view = fleet.routers[member].components.state.view
 
         fleet.store.configure(configuration=configuration(version=2))
         await wait_until(lambda: view.version == 2)
@@ -59,7 +61,7 @@
 async def test_member_counts_the_requests_of_all_routers() -> None:
     async with run_fleet(routers=0) as fleet:
         member = await _add_member(fleet)
-        trackers = [router.parts.state.loads for router in fleet.routers]
+        trackers = [router.components.state.loads for router in fleet.routers]
         endpoint = EndpointId("runner-1")
         with (
             trackers[0].track(endpoint=endpoint),
@@ -74,9 +76,9 @@
 async def test_member_continues_without_aggregators() -> None:
     async with run_fleet(routers=0) as fleet:
         member = await _add_member(fleet)
-        parts = fleet.routers[member].parts
+        parts = fleet.routers[member].components
         for router in fleet.routers[:member]:
-            router.parts.exchange._plan.recipients = list  # type: ignore[method-assign]
+            router.components.exchange._plan.recipients = list  # type: ignore[method-assign]
 
         await wait_until(lambda: parts.state.totals.is_aggregator)
         answer = await fleet.call("/safe/", router=member)
--- a/dotterelpaddle/tests/forwarding/test_evacuation.py
+++ b/dotterelpaddle/tests/forwarding/test_evacuation.py
@@ -43,7 +43,7 @@
 
 async def _start_router(fleet: Fleet) -> None:
     router = await fleet.add_router()
-    await wait_until(lambda: router.parts.app.ready)
+    await wait_until(lambda: router.components.app.ready)
 
 
 def _evacuate(fleet: Fleet, domain: str) -> None:
@@ -85,8 +85,8 @@
     """Guards against requests to an evacuated domain while a router has no store."""
     async with _two_domains() as fleet:
         router = await fleet.add_router(store=NO_STORE)
-        await wait_until(lambda: router.parts.app.ready)
-        view = router.parts.state.view
+        await wait_until(lambda: router.components.app.ready)
+        view = router.components.state.view
         _evacuate(fleet, HERE)
         await wait_until(lambda: view.evacuations.domains)
 
@@ -96,7 +96,7 @@
 async def test_domain_gets_requests_again_after_its_evacuation() -> None:
     """Guards against endpoints that get no requests after an evacuation."""
     async with _two_domains() as fleet:
-        view = fleet.routers[0].parts.state.view
+        view = fleet.routers[0].components.state.view
         _evacuate(fleet, HERE)
         await wait_until(lambda: view.evacuations.domains)
         fleet.store.remove(table=Table.OPERATOR, key=f"evacuate/{HERE}")
@@ -108,7 +108,7 @@
 async def test_requests_are_refused_at_once_if_all_domains_are_evacuated() -> None:
     """Guards against requests that wait or run while all domains are evacuated."""
     async with _two_domains() as fleet:
-        view = fleet.routers[0].parts.state.view
+        view = fleet.routers[0].components.state.view
         for domain in (HERE, THERE):
             _evacuate(fleet, domain)
         await wait_until(lambda: len(view.evacuations.domains) == 2)
--- a/dotterelpaddle/tests/forwarding/test_faults.py
+++ b/dotterelpaddle/tests/forwarding/test_faults.py
@@ -179,7 +179,7 @@
     async with run_fleet(runners=2) as fleet:
         gone = fleet.runners["runner-1"].entry(address=CLOSED, service="records")
         fleet.store.put(table=Table.ENDPOINTS, key="runner-1", value=gone)
-        view = fleet.routers[0].parts.state.view
+        view = fleet.routers[0].components.state.view
         await wait_until(lambda: any(entry.address == CLOSED for entry in view.entries))
         answers = [await fleet.call("/unsafe/") for _ in range(6)]
 
@@ -262,7 +262,7 @@
         tasks.start_soon(_call, fleet)
         await wait_until(lambda: runner.runs)
         fleet_router = fleet.routers[0]
-        assert fleet_router.parts.app.in_flight == 1
+        assert fleet_router.components.app.in_flight == 1
 
     assert statuses == [(200, EVENTS)]
 
@@ -282,7 +282,7 @@
         await fleet.add_runner("runner-1")
         fleet.addresses["runner-1"] = CLOSED
         fleet.register("runner-1")
-        view = fleet.routers[0].parts.state.view
+        view = fleet.routers[0].components.state.view
         await wait_until(lambda: any(entry.address == CLOSED for entry in view.entries))
         answer = await fleet.call(path)
 
--- a/dotterelpaddle/tests/forwarding/test_fleet_updates.py
+++ b/dotterelpaddle/tests/forwarding/test_fleet_updates.py
@@ -24,7 +24,7 @@
 
 
 def _view(fleet: Fleet, router: int = 0):  # type: ignore[no-untyped-def]
-    return fleet.routers[router].parts.state.view
+    return fleet.routers[router].components.state.view
 
 
 def _names(fleet: Fleet, router: int = 0) -> set[str]:
@@ -38,7 +38,7 @@
         router = await fleet.add_router()
         answer = await fleet.call("/safe/")
 
-        assert not router.parts.app.ready
+        assert not router.components.app.ready
         assert answer.status == 503
         assert float(dict(answer.headers)[b"retry-after"]) > 0
 
@@ -152,7 +152,7 @@
     async with run_fleet() as fleet:
         fleet.store.condition = fault
         fleet.store.wake()
-        follower = fleet.routers[0].parts.follower
+        follower = fleet.routers[0].components.follower
         await wait_until(lambda: follower.age > 1.0)
         assert (await fleet.call("/safe/")).status == 200
 
@@ -179,7 +179,7 @@
     async with run_fleet(runners=2) as fleet:
         fleet.store.condition = Refusing(status=503)
         fleet.store.wake()
-        follower = fleet.routers[0].parts.follower
+        follower = fleet.routers[0].components.follower
         await wait_until(lambda: follower.age > 1.2)
         fleet.store.remove(table=Table.ENDPOINTS, key="runner-1")
         fleet.store.condition = Answering()
@@ -192,7 +192,7 @@
 async def test_router_without_store_access_gets_updates_from_peers() -> None:
     async with run_fleet() as fleet:
         isolated = await fleet.add_router(store=NO_STORE)
-        await wait_until(lambda: isolated.parts.app.ready)
+        await wait_until(lambda: isolated.components.app.ready)
         assert (await fleet.call("/safe/", router=1)).status == 200
 
         fleet.store.configure(configuration=configuration(version=2))
@@ -203,7 +203,7 @@
 
 async def test_routers_count_each_others_requests() -> None:
     async with run_fleet(routers=2) as fleet:
-        first, second = (router.parts.state for router in fleet.routers)
+        first, second = (router.components.state for router in fleet.routers)
         endpoint = EndpointId("runner-1")
         with first.loads.track(endpoint=endpoint):
             await wait_until(lambda: second.loads.loads()[endpoint] == 1)
@@ -212,7 +212,7 @@
 
 async def test_stopping_router_is_not_ready() -> None:
     async with run_fleet() as fleet:
-        app = fleet.routers[0].parts.app
+        app = fleet.routers[0].components.app
         assert app.ready
         app.start_draining()
         answer = await fleet.call("/safe/")
--- a/dotterelpaddle/tests/forwarding/test_flow.py
+++ b/dotterelpaddle/tests/forwarding/test_flow.py
@@ -151,7 +151,7 @@
 
 async def test_split_route_uses_all_its_services() -> None:
     async with run_fleet() as fleet:
-        view = fleet.routers[0].parts.state.view
+        view = fleet.routers[0].components.state.view
         await fleet.add_runner("other-1", service="other")
         await wait_until(lambda: len(view.entries) == 2)
         split = [
--- a/dotterelpaddle/tests/forwarding/test_isolation.py
+++ b/dotterelpaddle/tests/forwarding/test_isolation.py
@@ -177,7 +177,7 @@
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     async with run_fleet() as fleet:
-        app = fleet.routers[0].parts.app
+        app = fleet.routers[0].components.app
         assert app.ready
         monkeypatch.setattr(IsolationDetector, "isolated", True)
         answer = await fleet.call("/safe/")
--- a/dotterelpaddle/tests/forwarding/test_leaving_incident.py
+++ b/dotterelpaddle/tests/forwarding/test_leaving_incident.py
@@ -89,7 +89,7 @@
     async with run_fleet(runners=2, routers=2) as fleet:
         leaving = fleet.runners["runner-1"]
         leaving.leaving = True
-        view = fleet.routers[1].parts.state.view
+        view = fleet.routers[1].components.state.view
         await _call_until_reached(fleet, "/safe/", "runner-1")
         await wait_until(lambda: len(view.ready(service=ServiceName("records"))) == 1)
         for _ in range(12):
@@ -110,7 +110,7 @@
         runner.leaving = True
         runner.plan.append(behaviour)
         await fleet.call("/unsafe/")
-        leaving = fleet.routers[0].parts.state.view.leaving
+        leaving = fleet.routers[0].components.state.view.leaving
 
         assert runner.received
         assert EndpointId(runner.name) not in leaving
@@ -122,7 +122,7 @@
         for runner in fleet.runners.values():
             runner.leaving = True
         first = [await fleet.call("/safe/") for _ in range(4)]
-        view = fleet.routers[0].parts.state.view
+        view = fleet.routers[0].components.state.view
         await wait_until(lambda: not view.last_resort(service=ServiceName("records")))
         sent = sum(len(runner.received) for runner in fleet.runners.values())
         last = await fleet.call("/safe/")
--- a/dotterelpaddle/tests/forwarding/test_metrics.py
+++ b/dotterelpaddle/tests/forwarding/test_metrics.py
@@ -67,7 +67,7 @@
 
 async def test_metrics_show_the_current_state() -> None:
     async with run_fleet(runners=2, routers=2, version=7) as fleet:
-        view = fleet.routers[0].parts.state.view
+        view = fleet.routers[0].components.state.view
         first = await _fetch_metrics(fleet)
         name = next(iter(fleet.runners))
         fleet.store.remove(table="servers", key=name)
--- a/dotterelpaddle/tests/forwarding/test_reachability.py
+++ b/dotterelpaddle/tests/forwarding/test_reachability.py
@@ -35,7 +35,7 @@
         """Make all endpoints unreachable and wait until the first router knows it."""
         self.ports = {address.port for address in fleet.addresses.values()}
         await fleet.call("/safe/")
-        parts = fleet.routers[0].parts
+        parts = fleet.routers[0].components
         entries = parts.state.view.entries
         await wait_until(
             lambda: not parts.reachability.possibly_reachable(entries=entries)
@@ -44,7 +44,7 @@
 
 def _failed_attempts(fleet: Fleet) -> float:
     """Return the number of failed attempts of the first router."""
-    page = fleet.routers[0].parts.metrics.render().decode()
+    page = fleet.routers[0].components.metrics.render().decode()
     name = "dotterelpaddle_attempts_failed_total{"
     lines = [line for line in page.splitlines() if line.startswith(name)]
     return sum(float(line.rsplit(" ", 1)[1]) for line in lines)
@@ -73,7 +73,7 @@
     partition = Partition(monkeypatch)
     async with run_fleet(runners=2) as fleet:
         await partition.cut_off(fleet=fleet)
-        parts = fleet.routers[0].parts
+        parts = fleet.routers[0].components
         entries = parts.state.view.entries
         partition.ports.clear()
         await wait_until(
--- a/dotterelpaddle/tests/forwarding/test_residency.py
+++ b/dotterelpaddle/tests/forwarding/test_residency.py
@@ -49,7 +49,7 @@
         for domain in REGIONS:
             await fleet.add_runner(domain, zone=domain)
         router = await fleet.add_router(regions=REGIONS)
-        await wait_until(lambda: router.parts.app.ready)
+        await wait_until(lambda: router.components.app.ready)
         answers = [await fleet.call("/safe/") for _ in range(CALLS)]
         received = {name for name, each in fleet.runners.items() if each.received}
 
--- a/dotterelpaddle/tests/owners/test_routers.py
+++ b/dotterelpaddle/tests/owners/test_routers.py
@@ -33,7 +33,7 @@
     def __init__(self, *, fleet: Fleet, index: int) -> None:
         self.requests: list[GrantRequest] = []
         self.responding = True
-        owner = fleet.routers[index].parts.owners
+        owner = fleet.routers[index].components.owners
         receive = owner.receive
 
         async def _receive(*, datagram: bytes, address: object) -> None:
@@ -54,9 +54,9 @@
     await fleet.add_runner("runner-2")
     for link in (100, 100, 10, 1):
         await fleet.add_router(link_mbps=link)
-    owner = fleet.routers[OWNER].parts.state.directory.own.router
+    owner = fleet.routers[OWNER].components.state.directory.own.router
     for router in fleet.routers:
-        directory = router.parts.state.directory
+        directory = router.components.state.directory
         await wait_until(lambda d=directory: _owner(d) == owner)
         await wait_until(lambda r=router: r.parts.app.ready)
     return OwnerProbe(fleet=fleet, index=OWNER)
@@ -99,7 +99,7 @@
         probe = await _start(fleet)
         probe.responding = False
         first = await fleet.call("/unsafe/", router=REQUESTER)
-        cooldowns = fleet.routers[REQUESTER].parts.owners._cooldown_until
+        cooldowns = fleet.routers[REQUESTER].components.owners._cooldown_until
         second = await fleet.call("/unsafe/", router=REQUESTER)
 
     assert (first.status, second.status) == (200, 200)
@@ -109,9 +109,9 @@
 async def test_owner_counts_ended_and_ungranted_requests() -> None:
     async with run_fleet(routers=0) as fleet:
         await _start(fleet)
-        counts = fleet.routers[OWNER].parts.owners._owner._counts
-        loads = fleet.routers[REQUESTER].parts.state.loads
-        endpoint = fleet.routers[REQUESTER].parts.state.view.entries[0].endpoint
+        counts = fleet.routers[OWNER].components.owners._owner._counts
+        loads = fleet.routers[REQUESTER].components.state.loads
+        endpoint = fleet.routers[REQUESTER].components.state.view.entries[0].endpoint
         with loads.track(endpoint=endpoint):
             await wait_until(lambda: counts.loads.get(endpoint) == 1)
         await wait_until(lambda: not counts.loads)
@@ -121,7 +121,7 @@
     """Guards against grants of endpoints that only the requester knows as leaving."""
     async with run_fleet(routers=0) as fleet:
         probe = await _start(fleet)
-        view = fleet.routers[REQUESTER].parts.state.view
+        view = fleet.routers[REQUESTER].components.state.view
         leaving = EndpointId("runner-1")
         view.leaving.record(endpoint=leaving)
         await fleet.add_runner("runner-3")
