--- a/dotterelpaddle/forwarding/attempts.py
+++ b/dotterelpaddle/forwarding/attempts.py
@@ -255,7 +255,7 @@
                 last_event_id=relay.last_event_id,
                 fetch_from=source.address if source is not None else None,
             ),
-            patience=self._timeouts.attempt_timeouts(
+            timeouts=self._timeouts.attempt_timeouts(
                 route=route,
                 time_left=time_left,
                 connect_timeout=connect_timeout,
--- a/dotterelpaddle/forwarding/client.py
+++ b/dotterelpaddle/forwarding/client.py
@@ -63,7 +63,7 @@
         request: The caller's request.
         body: Its complete body.
         delivery: Metadata that the router adds as headers.
-        patience: Timeouts of each stage.
+        timeouts: Timeouts of each stage.
         new_connection: Whether to use a new connection only, on which no late answer
             to an earlier request can arrive.
         observe: Receives each observed stage of the request.
@@ -73,7 +73,7 @@
     request: ForwardRequest
     body: bytes
     delivery: RequestMetadata
-    patience: Patience
+    timeouts: Patience
     new_connection: bool
     observe: Observer
 
@@ -101,7 +101,7 @@
         self._head = head
         self._response = response
         self._connection = connection
-        self._gap_timeout = call.patience.gap
+        self._gap_timeout = call.timeouts.gap
         self._endpoint = call.entry.endpoint
         self._liveness = signs
 
@@ -198,13 +198,13 @@
         """
         pool = self._pool(entry=call.entry)
         connection = await pool.acquire(
-            fresh=call.new_connection, timeout=call.patience.connect
+            fresh=call.new_connection, timeout=call.timeouts.connect
         )
         call.observe(Evidence.CONNECTED)
         response: httpcore.Response | None = None
         try:
             sent_at = self._clock()
-            connection.stream.read_timeout = call.patience.first_byte
+            connection.stream.read_timeout = call.timeouts.first_byte
             connection.stream.read_extension = partial(self._extra_wait, call, sent_at)
             response = await self._send_request(call=call, connection=connection)
             connection.stream.read_extension = None
@@ -238,7 +238,7 @@
         """Return the seconds to extend a timed-out wait, 0 to give up the request."""
         if not self._liveness.is_slow(endpoint=call.entry.endpoint, sent_at=sent_at):
             return 0.0
-        seconds_left = call.patience.slow_first_byte - (self._clock() - sent_at)
+        seconds_left = call.timeouts.slow_first_byte - (self._clock() - sent_at)
         return min(seconds_left, SLOW_RECHECK_SECONDS)
 
     async def discard_expired(self) -> None:
