--- a/dotterelpaddle/forwarding/attempts.py
+++ b/dotterelpaddle/forwarding/attempts.py
@@ -247,7 +247,7 @@
             entry=choice.entry,
             request=exchange.request,
             body=exchange.body,
-            delivery=RequestMetadata(
+            metadata=RequestMetadata(
                 endpoint=choice.entry.name,
                 time_left=time_left,
                 account=exchange.account,
--- a/dotterelpaddle/forwarding/client.py
+++ b/dotterelpaddle/forwarding/client.py
@@ -62,7 +62,7 @@
         entry: Registration of the endpoint.
         request: The caller's request.
         body: Its complete body.
-        delivery: Metadata that the router adds as headers.
+        metadata: Metadata that the router adds as headers.
         timeouts: Timeouts of each stage.
         new_connection: Whether to use a new connection only, on which no late answer
             to an earlier request can arrive.
@@ -72,7 +72,7 @@
     entry: EndpointEntry
     request: ForwardRequest
     body: bytes
-    delivery: RequestMetadata
+    metadata: RequestMetadata
     timeouts: Patience
     new_connection: bool
     observe: Observer
@@ -303,7 +303,7 @@
 
     def _request(self, *, call: ForwardCall) -> httpcore.Request:
         headers = self._protocols.encode_headers(
-            request=call.request, metadata=call.delivery
+            request=call.request, metadata=call.metadata
         )
         if call.body or call.request.method in ("POST", "PUT", "PATCH"):
             headers.append((b"content-length", str(len(call.body)).encode()))
