--- a/dotterelpaddle/forwarding/attempts.py
+++ b/dotterelpaddle/forwarding/attempts.py
@@ -194,7 +194,7 @@
         )
         try:
             with crash_watch, tracking as in_flight:
-                progress.held = in_flight
+                progress.in_flight_request = in_flight
                 result = await relay.send(
                     call=self._call(
                         exchange=exchange,
--- a/dotterelpaddle/forwarding/progress.py
+++ b/dotterelpaddle/forwarding/progress.py
@@ -80,7 +80,7 @@
         self.attempt = attempt
         self.started_at = clock()
         self.first_byte_seconds: float | None = None
-        self.held: InFlightRequest | None = None
+        self.in_flight_request: InFlightRequest | None = None
         self._clock = clock
 
     def observe(self, evidence: Evidence) -> None:
@@ -91,5 +91,5 @@
             AttemptState.ANSWERED,
         ):
             self.first_byte_seconds = self._clock() - self.started_at
-            if self.held is not None:
-                self.held.answer_started()
+            if self.in_flight_request is not None:
+                self.in_flight_request.answer_started()
