--- a/dotterelpaddle/owners/messages.py
+++ b/dotterelpaddle/owners/messages.py
@@ -102,7 +102,7 @@
         reason: Why the owner chose the endpoint.
         load: Requests in flight at the endpoint, without this one.
         mean_load: Mean requests in flight over the endpoints of the service.
-        missing: Shared prompt tokens that the endpoint has not cached.
+        missing_tokens: Shared prompt tokens that the endpoint has not cached.
         work: Work queued before the answer starts, in prompt tokens to read.
     """
 
@@ -112,7 +112,7 @@
     reason: ChoiceReason = ChoiceReason.LEAST_LOADED
     load: int = 0
     mean_load: float = 0.0
-    missing: int = 0
+    missing_tokens: int = 0
     work: int = 0
 
 
@@ -148,7 +148,7 @@
                     message.reason.value,
                     message.load,
                     message.mean_load,
-                    message.missing,
+                    message.missing_tokens,
                     message.work,
                 ]
             )
@@ -215,7 +215,7 @@
         reason=ChoiceReason(reason),
         load=int(load),
         mean_load=float(mean_load),
-        missing=int(missing),
+        missing_tokens=int(missing),
         work=int(work),
     )
 
--- a/dotterelpaddle/owners/owner.py
+++ b/dotterelpaddle/owners/owner.py
@@ -102,7 +102,7 @@
             reason=choice.reason,
             load=choice.load,
             mean_load=round(choice.mean_load, 2),
-            missing=choice.missing_tokens,
+            missing_tokens=choice.missing_tokens,
             work=choice.work_tokens,
         )
 
--- a/dotterelpaddle/owners/placer.py
+++ b/dotterelpaddle/owners/placer.py
@@ -182,7 +182,7 @@
             mean_load=grant.mean_load,
             candidate_count=len(usable),
             part_tag=part_tag(model=request.model, part=parts[-1]) if parts else 0,
-            missing_tokens=grant.missing,
+            missing_tokens=grant.missing_tokens,
             work_tokens=grant.work,
             fetch_from=next(
                 (
--- a/dotterelpaddle/tests/owners/test_messages.py
+++ b/dotterelpaddle/tests/owners/test_messages.py
@@ -58,7 +58,7 @@
             reason=ChoiceReason.CACHED,
             load=3,
             mean_load=2.5,
-            missing=100,
+            missing_tokens=100,
             work=90,
         ),
     ],
--- a/dotterelpaddle/tests/owners/test_owner.py
+++ b/dotterelpaddle/tests/owners/test_owner.py
@@ -71,7 +71,9 @@
         harness.owner.decide(request=grant_request) for _, grant_request in questions
     ]
 
-    read = [grant for grant in grants if grant.missing and grant.fetch_from is None]
+    read = [
+        grant for grant in grants if grant.missing_tokens and grant.fetch_from is None
+    ]
     assert len(read) == 1
     assert all(grant.endpoint is not None for grant in grants)
 
