--- a/dotterelpaddle/owners/messages.py
+++ b/dotterelpaddle/owners/messages.py
@@ -103,7 +103,7 @@
         load: Requests in flight at the endpoint, without this one.
         mean_load: Mean requests in flight over the endpoints of the service.
         missing_tokens: Shared prompt tokens that the endpoint has not cached.
-        work: Work queued before the answer starts, in prompt tokens to read.
+        work_tokens: Work queued before the answer starts, in prompt tokens to read.
     """
 
     number: int
@@ -113,7 +113,7 @@
     load: int = 0
     mean_load: float = 0.0
     missing_tokens: int = 0
-    work: int = 0
+    work_tokens: int = 0
 
 
 Message = GrantRequest | Grant | InFlightReport
@@ -149,7 +149,7 @@
                     message.load,
                     message.mean_load,
                     message.missing_tokens,
-                    message.work,
+                    message.work_tokens,
                 ]
             )
         case InFlightReport():
@@ -216,7 +216,7 @@
         load=int(load),
         mean_load=float(mean_load),
         missing_tokens=int(missing),
-        work=int(work),
+        work_tokens=int(work),
     )
 
 
--- a/dotterelpaddle/owners/owner.py
+++ b/dotterelpaddle/owners/owner.py
@@ -103,7 +103,7 @@
             load=choice.load,
             mean_load=round(choice.mean_load, 2),
             missing_tokens=choice.missing_tokens,
-            work=choice.work_tokens,
+            work_tokens=choice.work_tokens,
         )
 
     def _current_loads(self, *, query: PlacementQuery) -> Counter[EndpointId]:
--- a/dotterelpaddle/owners/placer.py
+++ b/dotterelpaddle/owners/placer.py
@@ -183,7 +183,7 @@
             candidate_count=len(usable),
             part_tag=part_tag(model=request.model, part=parts[-1]) if parts else 0,
             missing_tokens=grant.missing_tokens,
-            work_tokens=grant.work,
+            work_tokens=grant.work_tokens,
             fetch_from=next(
                 (
                     each
--- a/dotterelpaddle/tests/owners/test_messages.py
+++ b/dotterelpaddle/tests/owners/test_messages.py
@@ -59,7 +59,7 @@
             load=3,
             mean_load=2.5,
             missing_tokens=100,
-            work=90,
+            work_tokens=90,
         ),
     ],
 )
