--- a/dotterelpaddle/platform/names.py
+++ b/dotterelpaddle/platform/names.py
@@ -25,7 +25,7 @@
     RETRY_AFTER = b"retry-after"
     MODEL = b"x-dotterelpaddle-model"
     PROMPT_PREFIX = b"x-dotterelpaddle-prompt-prefix"
-    RANK = b"x-dotterelpaddle-request-priority"
+    PRIORITY = b"x-dotterelpaddle-request-priority"
     LAST_EVENT_ID = b"last-event-id"
     EXPECTED_VERSION = b"x-dotterelpaddle-expect-version"
     PIN_MS = b"x-dotterelpaddle-pin-ms"
@@ -41,7 +41,7 @@
         Header.KEY,
         Header.ACCOUNT,
         Header.EXPECTED_ENDPOINT,
-        Header.RANK,
+        Header.PRIORITY,
         Header.LAST_EVENT_ID,
         Header.EXPECTED_VERSION,
         Header.PIN_MS,
--- a/dotterelpaddle/platform/protocols.py
+++ b/dotterelpaddle/platform/protocols.py
@@ -81,7 +81,7 @@
             headers.append((Header.ACCOUNT, metadata.account.name.encode()))
         if metadata.priority is not None and request.prompt:
             headers.append(
-                (Header.RANK, b"%d" % min(metadata.priority, LOWEST_PRIORITY))
+                (Header.PRIORITY, b"%d" % min(metadata.priority, LOWEST_PRIORITY))
             )
         if metadata.last_event_id:
             headers.append(
--- a/dotterelpaddle/tests/forwarding/test_flow.py
+++ b/dotterelpaddle/tests/forwarding/test_flow.py
@@ -73,7 +73,7 @@
         Header.BACKUP,
         Header.MOVED_FROM,
         Header.FETCH_FROM,
-        Header.RANK,
+        Header.PRIORITY,
         Header.EXPECTED_VERSION,
     ],
 )
--- a/dotterelpaddle/tests/platform/test_protocols.py
+++ b/dotterelpaddle/tests/platform/test_protocols.py
@@ -99,7 +99,7 @@
     assert headers[Header.EXPECTED_ENDPOINT] == b"runner-1"
     assert headers[Header.TIME_LEFT_MS] == b"1234"
     assert headers[Header.ACCOUNT] == b"acme"
-    assert headers[Header.RANK] == b"9"
+    assert headers[Header.PRIORITY] == b"9"
     assert headers[Header.LAST_EVENT_ID] == b"3"
     assert headers[Header.REQUEST_ID] == b"r"
 
