--- a/dotterelpaddle/forwarding/components.py
+++ b/dotterelpaddle/forwarding/components.py
@@ -94,7 +94,7 @@
         loads: Requests in flight per endpoint.
         health: Results of recent requests per endpoint.
         liveness: Time of the last bytes from each endpoint.
-        quiet: Endpoints that asked this router to back off.
+        backoffs: Endpoints that asked this router to back off.
         cold: Limits for endpoints that have just started.
         caches: Prompt parts that each endpoint has cached.
         crashes: Requests that were running when endpoints crashed.
@@ -107,7 +107,7 @@
     loads: LoadTracker
     health: HealthTracker
     liveness: EndpointLiveness
-    quiet: EndpointBackoffs
+    backoffs: EndpointBackoffs
     cold: ColdEndpoints
     caches: CacheMap
     crashes: CrashTracker
@@ -173,7 +173,7 @@
         backend=backend,
         clock=clock,
         signs=state.liveness,
-        notices=EndpointNotices(leaving=state.view.leaving, backoffs=state.quiet),
+        notices=EndpointNotices(leaving=state.view.leaving, backoffs=state.backoffs),
     )
     peer_summary = PeerSummary(
         view=state.view,
@@ -216,7 +216,7 @@
         loads=state.loads,
         health=state.health,
         reachability=reachability,
-        quiet=state.quiet,
+        quiet=state.backoffs,
         cold=state.cold,
         caches=state.caches,
         failure_domain=settings.failure_domain,
@@ -324,7 +324,7 @@
                 caches=state.caches,
                 peer_summary=peer_summary,
                 shards=shards,
-                quiet=state.quiet,
+                quiet=state.backoffs,
                 reader=dependencies.cache_reader,
                 failure_domain=settings.failure_domain,
                 clock=clock,
@@ -365,7 +365,7 @@
         loads=LoadTracker(shares=totals),
         health=HealthTracker(clock=clock),
         liveness=EndpointLiveness(clock=clock),
-        quiet=EndpointBackoffs(clock=clock),
+        backoffs=EndpointBackoffs(clock=clock),
         cold=ColdEndpoints(
             router=settings.router,
             bounds=settings.cold_bounds,
--- a/dotterelpaddle/forwarding/router.py
+++ b/dotterelpaddle/forwarding/router.py
@@ -136,5 +136,5 @@
         known_endpoints = frozenset(entry.endpoint for entry in state.view.entries)
         state.health.retain(endpoints=known_endpoints)
         state.liveness.retain(endpoints=known_endpoints)
-        state.quiet.retain(endpoints=known_endpoints)
+        state.backoffs.retain(endpoints=known_endpoints)
         state.cold.retain(endpoints=known_endpoints)
