--- a/dotterelpaddle/forwarding/components.py
+++ b/dotterelpaddle/forwarding/components.py
@@ -362,7 +362,7 @@
     return SharedState(
         view=view,
         totals=totals,
-        loads=LoadTracker(shares=totals),
+        loads=LoadTracker(totals=totals),
         health=HealthTracker(clock=clock),
         liveness=EndpointLiveness(clock=clock),
         backoffs=EndpointBackoffs(clock=clock),
--- a/dotterelpaddle/forwarding/loads.py
+++ b/dotterelpaddle/forwarding/loads.py
@@ -44,11 +44,11 @@
     """Tracks the requests in flight.
 
     Args:
-        shares: Totals that other routers reported.
+        totals: Totals that other routers reported.
     """
 
-    def __init__(self, *, shares: TotalsTracker) -> None:
-        self._totals = shares
+    def __init__(self, *, totals: TotalsTracker) -> None:
+        self._totals = totals
         self._own: Counter[EndpointId] = Counter()
         self._observer: Callable[[EndpointId, int], None] | None = None
         self._own_queued_tokens: Counter[EndpointId] = Counter()
--- a/dotterelpaddle/tests/forwarding/test_cold.py
+++ b/dotterelpaddle/tests/forwarding/test_cold.py
@@ -102,7 +102,7 @@
         )
         self.placer = ForwardPlacer(
             view=self.view,
-            loads=LoadTracker(shares=shares),
+            loads=LoadTracker(totals=shares),
             health=HealthTracker(clock=self._clock),
             reachability=Reachability(
                 view=self.view,
--- a/dotterelpaddle/tests/forwarding/test_herding.py
+++ b/dotterelpaddle/tests/forwarding/test_herding.py
@@ -71,7 +71,7 @@
     caches.record_prompt(endpoint=HOLDER, request=HOT)
     return ForwardPlacer(
         view=view,
-        loads=LoadTracker(shares=shares),
+        loads=LoadTracker(totals=shares),
         health=HealthTracker(clock=lambda: 0.0),
         reachability=Reachability(
             view=view,
--- a/dotterelpaddle/tests/forwarding/test_loads.py
+++ b/dotterelpaddle/tests/forwarding/test_loads.py
@@ -12,7 +12,7 @@
 
 def _tracker() -> tuple[LoadTracker, TotalsTracker]:
     shares = TotalsTracker(failure_domain=HERE, clock=lambda: 0.0)
-    return LoadTracker(shares=shares), shares
+    return LoadTracker(totals=shares), shares
 
 
 def test_prompt_waits_for_prefill_until_its_answer_starts() -> None:
--- a/dotterelpaddle/tests/forwarding/test_placement.py
+++ b/dotterelpaddle/tests/forwarding/test_placement.py
@@ -75,7 +75,7 @@
 
         view = FleetView(clock=clock)
         totals = TotalsTracker(failure_domain=HERE, clock=clock)
-        loads, health = LoadTracker(shares=totals), HealthTracker(clock=clock)
+        loads, health = LoadTracker(totals=totals), HealthTracker(clock=clock)
         caches = CacheMap(clock=clock)
         reachability = Reachability(
             view=view,
--- a/dotterelpaddle/tests/forwarding/test_starts.py
+++ b/dotterelpaddle/tests/forwarding/test_starts.py
@@ -205,7 +205,7 @@
     view = FleetView(clock=lambda: 0.0)
     caches, health = CacheMap(clock=lambda: 0.0), HealthTracker(clock=lambda: 0.0)
     shares = TotalsTracker(failure_domain=FailureDomain("here"), clock=lambda: 0.0)
-    loads = LoadTracker(shares=shares)
+    loads = LoadTracker(totals=shares)
     _receive(view, (1, 0))
     (before,) = view.entries
     caches.record_part(endpoint=before.endpoint, part=7)
--- a/dotterelpaddle/tests/owners/harness.py
+++ b/dotterelpaddle/tests/owners/harness.py
@@ -74,7 +74,7 @@
     def restart_owner(self) -> None:
         """Replace the owner of the shard by a new one without any state."""
         self.shares = TotalsTracker(failure_domain=HERE, clock=self.clock)
-        loads = LoadTracker(shares=self.shares)
+        loads = LoadTracker(totals=self.shares)
         self.caches = CacheMap(clock=self.clock)
         self.counts = ShardCounts(clock=self.clock)
         self.owner = Owner(
@@ -109,7 +109,7 @@
     def __init__(self, *, name: str, harness: OwnerHarness) -> None:
         self._harness = harness
         shares = TotalsTracker(failure_domain=HERE, clock=harness.clock)
-        self.loads = LoadTracker(shares=shares)
+        self.loads = LoadTracker(totals=shares)
         self.reporter = InFlightReporter(
             router=RouterId(name),
             loads=self.loads,
