--- a/dotterelpaddle/forwarding/components.py
+++ b/dotterelpaddle/forwarding/components.py
@@ -178,7 +178,7 @@
     peer_summary = PeerSummary(
         view=state.view,
         directory=directory,
-        shares=state.totals,
+        totals=state.totals,
         clock=clock,
     )
     metrics = ForwardMetrics()
--- a/dotterelpaddle/peers/summary.py
+++ b/dotterelpaddle/peers/summary.py
@@ -26,7 +26,7 @@
     Args:
         view: Configuration and endpoints in force.
         directory: The other routers.
-        shares: Tells whether the fleet has aggregators.
+        totals: Tells whether the fleet has aggregators.
         clock: Monotonic clock.
     """
 
@@ -35,10 +35,10 @@
         *,
         view: FleetView,
         directory: PeerDirectory,
-        shares: TotalsTracker,
+        totals: TotalsTracker,
         clock: Clock,
     ) -> None:
-        self._shares = shares
+        self._totals = totals
         self._view = view
         self._directory = directory
         self._clock = clock
@@ -63,7 +63,7 @@
     def is_large_fleet(self) -> bool:
         """Whether the fleet is too large for a mesh, so that it has aggregators."""
         counts = (peer.report.routers for peer in self._directory.alive)
-        return self._shares.has_aggregators or max(counts, default=0) > MAX_MESH_ROUTERS
+        return self._totals.has_aggregators or max(counts, default=0) > MAX_MESH_ROUTERS
 
     @property
     def is_domain_owner(self) -> bool | None:
@@ -81,13 +81,13 @@
 
         Each aggregator itself waits for new configurations at the platform.
         """
-        relying = self._shares.has_aggregators and not self._shares.is_aggregator
+        relying = self._totals.has_aggregators and not self._totals.is_aggregator
         return relying and bool(self._directory.alive)
 
     @property
     def receives_endpoints(self) -> bool:
         """Whether peers forward endpoints to this router in time."""
-        return self._shares.has_aggregators and not self.is_platform_reader
+        return self._totals.has_aggregators and not self.is_platform_reader
 
     @property
     def configuration_age(self) -> float:
--- a/dotterelpaddle/tests/peers/test_summary.py
+++ b/dotterelpaddle/tests/peers/test_summary.py
@@ -51,7 +51,7 @@
         self.peer_summary = PeerSummary(
             view=view,
             directory=self.directory,
-            shares=self.totals,
+            totals=self.totals,
             clock=lambda: self.now,
         )
         self._sequence = 0
