--- a/dotterelpaddle/forwarding/components.py
+++ b/dotterelpaddle/forwarding/components.py
@@ -295,7 +295,7 @@
             caches=state.caches,
             crashes=state.crashes,
             directory=directory,
-            plan=ReportPlan(directory=directory, shares=state.totals),
+            plan=ReportPlan(directory=directory, totals=state.totals),
             peer_summary=peer_summary,
             follower=follower,
             owners=owners,
--- a/dotterelpaddle/peers/plan.py
+++ b/dotterelpaddle/peers/plan.py
@@ -48,17 +48,17 @@
 
     Args:
         directory: The other routers.
-        shares: Totals that other routers sent, and requests to aggregate.
+        totals: Totals that other routers sent, and requests to aggregate.
     """
 
-    def __init__(self, *, directory: PeerDirectory, shares: TotalsTracker) -> None:
+    def __init__(self, *, directory: PeerDirectory, totals: TotalsTracker) -> None:
         self._directory = directory
-        self._shares = shares
+        self._totals = totals
 
     @property
     def router_count(self) -> int:
         """Number of routers that this one knows of, itself included."""
-        return max(self._directory.router_count, self._shares.router_count)
+        return max(self._directory.router_count, self._totals.router_count)
 
     @property
     def is_mesh(self) -> bool:
@@ -69,8 +69,8 @@
     def recipients(self) -> list[Recipient]:
         """Return the recipients that are due for a report now."""
         if self.is_mesh:
-            self._shares.has_aggregators = False
-            self._shares.is_aggregator = True
+            self._totals.has_aggregators = False
+            self._totals.is_aggregator = True
             self._directory.update_liveness()
             alive = [Recipient(address=peer.address) for peer in self._directory.alive]
             return alive + _probes(self._directory.unreached_targets())
@@ -81,9 +81,9 @@
         directory.update_liveness()
         own = directory.own
         aggregators = directory.aggregators(failure_domain=own.failure_domain)
-        self._shares.has_aggregators = True
-        self._shares.is_aggregator = own in aggregators or bool(
-            self._shares.aggregation_requesters
+        self._totals.has_aggregators = True
+        self._totals.is_aggregator = own in aggregators or bool(
+            self._totals.aggregation_requesters
         )
         to_aggregators = [
             Recipient(
@@ -97,7 +97,7 @@
         recipients = to_aggregators + self._requesting_members(
             without={recipient.router for recipient in to_aggregators}
         )
-        if self._shares.is_aggregator:
+        if self._totals.is_aggregator:
             recipients += self._other_domains()
         if own in aggregators:
             directory.elect_owner()
@@ -113,7 +113,7 @@
 
     def _requesting_members(self, *, without: set[RouterId | None]) -> list[Recipient]:
         """Routers of the own failure domain that requested totals of all others."""
-        requesters = self._shares.aggregation_requesters - without
+        requesters = self._totals.aggregation_requesters - without
         return [
             Recipient(
                 address=peer.address,
