--- a/dotterelpaddle/forwarding/components.py
+++ b/dotterelpaddle/forwarding/components.py
@@ -290,8 +290,8 @@
         exchange=PeerExchange(
             view=state.view,
             loads=state.loads,
-            repeats=state.retry_budget,
-            shares=state.totals,
+            retry_budget=state.retry_budget,
+            totals=state.totals,
             caches=state.caches,
             crashes=state.crashes,
             directory=directory,
--- a/dotterelpaddle/peers/exchange.py
+++ b/dotterelpaddle/peers/exchange.py
@@ -80,8 +80,8 @@
     Args:
         view: Configuration and endpoints in force.
         loads: Requests in flight of this router.
-        repeats: Retries of this router.
-        shares: Totals that other routers sent.
+        retry_budget: Retries of this router.
+        totals: Totals that other routers sent.
         caches: Prompt parts that endpoints have cached.
         crashes: Requests during which endpoints crashed.
         directory: The other routers.
@@ -97,8 +97,8 @@
         *,
         view: FleetView,
         loads: LoadTracker,
-        repeats: RetryBudget,
-        shares: TotalsTracker,
+        retry_budget: RetryBudget,
+        totals: TotalsTracker,
         caches: CacheMap,
         crashes: CrashTracker,
         directory: PeerDirectory,
@@ -111,8 +111,8 @@
         self._own = directory.own
         self._view = view
         self._loads = loads
-        self._repeats = repeats
-        self._shares = shares
+        self._retry_budget = retry_budget
+        self._totals = totals
         self._caches = caches
         self._crashes = crashes
         self._directory = directory
@@ -222,7 +222,7 @@
             share=RequestTotals(
                 loads=self._loads.own,
                 queued_tokens=self._loads.own_queued_tokens,
-                retries=self._repeats.counts(),
+                retries=self._retry_budget.counts(),
             ),
             routers=self._plan.router_count,
             domains=tuple(
@@ -239,9 +239,9 @@
     def _totals_for(self, *, own: RequestTotals, recipient: Recipient) -> RequestTotals:
         match recipient.scope:
             case TotalsScope.DOMAIN:
-                return self._shares.domain_totals(own=own)
+                return self._totals.domain_totals(own=own)
             case TotalsScope.OTHERS if recipient.router is not None:
-                return self._shares.totals_except(own=own, router=recipient.router)
+                return self._totals.totals_except(own=own, router=recipient.router)
         return own
 
     def _owners_for(self, *, recipient: Recipient) -> tuple[PeerInfo, ...]:
@@ -308,7 +308,7 @@
         known = self._directory.knows_process(report=report)
         if not self._directory.receive(report=report, address=address):
             return False
-        self._shares.receive(
+        self._totals.receive(
             router=report.router,
             failure_domain=report.failure_domain,
             totals=report.share,
