--- a/dotterelpaddle/forwarding/components.py
+++ b/dotterelpaddle/forwarding/components.py
@@ -324,7 +324,7 @@
                 caches=state.caches,
                 peer_summary=peer_summary,
                 shards=shards,
-                quiet=state.backoffs,
+                backoffs=state.backoffs,
                 reader=dependencies.cache_reader,
                 failure_domain=settings.failure_domain,
                 clock=clock,
--- a/dotterelpaddle/peers/cache_discovery.py
+++ b/dotterelpaddle/peers/cache_discovery.py
@@ -97,7 +97,7 @@
         caches: Receives the cached prompt parts.
         peer_summary: Tells this router's role among its peers.
         shards: Tells which failure domain owns which engine.
-        quiet: Engines that have asked this router to back off.
+        backoffs: Engines that have asked this router to back off.
         reader: Queries one engine.
         failure_domain: Failure domain of this router.
         clock: Monotonic clock.
@@ -110,7 +110,7 @@
         caches: CacheMap,
         peer_summary: PeerSummary,
         shards: ShardMap,
-        quiet: EndpointBackoffs,
+        backoffs: EndpointBackoffs,
         reader: CacheReader,
         failure_domain: FailureDomain,
         clock: Clock,
@@ -119,7 +119,7 @@
         self._caches = caches
         self._peer_summary = peer_summary
         self._shards = shards
-        self._quiet = quiet
+        self._backoffs = backoffs
         self._reader = reader
         self._failure_domain = failure_domain
         self._clock = clock
@@ -172,7 +172,7 @@
         self._caches.mark_populated()
 
     async def _query_engine(self, entry: EndpointEntry) -> None:
-        if self._quiet.is_backing_off(endpoint=entry.endpoint):
+        if self._backoffs.is_backing_off(endpoint=entry.endpoint):
             log.info(
                 "cache_unread",
                 endpoint=entry.endpoint,
--- a/dotterelpaddle/tests/peers/test_cache_discovery.py
+++ b/dotterelpaddle/tests/peers/test_cache_discovery.py
@@ -73,7 +73,7 @@
             caches=self.caches,
             peer_summary=self.peer_summary,  # type: ignore[arg-type]
             shards=ShardMap(view=self.view),
-            quiet=self.backoffs,
+            backoffs=self.backoffs,
             reader=SimpleNamespace(cached_parts=self._cached_parts),
             failure_domain=FailureDomain("here"),
             clock=lambda: self.now,
