--- a/dotterelpaddle/peers/exchange.py
+++ b/dotterelpaddle/peers/exchange.py
@@ -276,7 +276,8 @@
                 continue
             try:
                 report = decode_report(
-                    datagram=datagram, start_of=self._view.current_endpoint_id
+                    datagram=datagram,
+                    current_endpoint_id=self._view.current_endpoint_id,
                 )
             except ControlError as error:
                 self._dropped += 1
--- a/dotterelpaddle/peers/messages.py
+++ b/dotterelpaddle/peers/messages.py
@@ -220,13 +220,15 @@
 
 
 def decode_report(
-    *, datagram: bytes, start_of: Callable[[EndpointName], EndpointId] = EndpointId
+    *,
+    datagram: bytes,
+    current_endpoint_id: Callable[[EndpointName], EndpointId] = EndpointId,
 ) -> PeerReport:
     """Decode a datagram as a report.
 
     Args:
         datagram: The received datagram.
-        start_of: Returns the id of an endpoint's current incarnation. Reports of
+        current_endpoint_id: Returns the id of an endpoint's current incarnation. Reports of
             earlier releases hold names only. Their requests in flight count for the
             current incarnation, which errs on the safe side; their cached prompt parts
             do not, since those may belong to an earlier incarnation.
@@ -260,7 +262,7 @@
             share=_totals(
                 fields[12],
                 queued_tokens,
-                endpoints if incarnations else _resolve(endpoints, start_of),
+                endpoints if incarnations else _resolve(endpoints, current_endpoint_id),
             ),
             ask=ReplyRequest(fields[13]),
             routers=int(fields[14]),
--- a/dotterelpaddle/tests/peers/test_messages.py
+++ b/dotterelpaddle/tests/peers/test_messages.py
@@ -319,7 +319,8 @@
     known = EndpointId("a@1733000000123")
 
     decoded = decode_report(
-        datagram=orjson.dumps(fields[:INCARNATIONS_INDEX]), start_of=lambda name: known
+        datagram=orjson.dumps(fields[:INCARNATIONS_INDEX]),
+        current_endpoint_id=lambda name: known,
     )
 
     assert decoded.share.loads == {known: 2}
