--- a/dotterelpaddle/forwarding/attempts.py
+++ b/dotterelpaddle/forwarding/attempts.py
@@ -72,8 +72,8 @@
         reachability: Records endpoints that refuse connections or time out.
         caches: Locations of cached prompt parts.
         guard: Blocks requests that crash endpoints.
-        repeats: Limits retries.
-        waits: Estimates the timeouts of an attempt from earlier answers.
+        retry_budget: Limits retries.
+        timeouts: Estimates the timeouts of an attempt from earlier answers.
         metrics: Counts attempts.
         clock: Monotonic clock.
     """
@@ -88,8 +88,8 @@
         reachability: Reachability,
         caches: CacheMap,
         guard: CrashGuard,
-        repeats: RetryBudget,
-        waits: TimeoutEstimator,
+        retry_budget: RetryBudget,
+        timeouts: TimeoutEstimator,
         metrics: ForwardMetrics,
         clock: Clock,
     ) -> None:
@@ -100,8 +100,8 @@
         self._reachability = reachability
         self._caches = caches
         self._guard = guard
-        self._retry_budget = repeats
-        self._timeouts = waits
+        self._retry_budget = retry_budget
+        self._timeouts = timeouts
         self._metrics = metrics
         self._clock = clock
 
--- a/dotterelpaddle/forwarding/components.py
+++ b/dotterelpaddle/forwarding/components.py
@@ -261,8 +261,8 @@
             metrics=metrics,
             clock=clock,
         ),
-        repeats=state.retry_budget,
-        waits=TimeoutEstimator(),
+        retry_budget=state.retry_budget,
+        timeouts=TimeoutEstimator(),
         metrics=metrics,
         clock=clock,
     )
