--- a/dotterelpaddle/forwarding/components.py
+++ b/dotterelpaddle/forwarding/components.py
@@ -269,7 +269,9 @@
     filters = (
         RouteFilter(view=state.view, generator=generator),
         DeadlineFilter(clock=clock),
-        ForwardFilter(attempts=attempts, client=client, repeats=state.retry_budget),
+        ForwardFilter(
+            attempts=attempts, client=client, retry_budget=state.retry_budget
+        ),
     )
     return Components(
         state=state,
--- a/dotterelpaddle/forwarding/filters.py
+++ b/dotterelpaddle/forwarding/filters.py
@@ -140,15 +140,19 @@
     Args:
         attempts: Selects endpoints and sends attempts.
         client: Sends requests to endpoints.
-        repeats: Counts requests; the retry budget is a share of them.
+        retry_budget: Counts requests; the retry budget is a share of them.
     """
 
     def __init__(
-        self, *, attempts: AttemptRunner, client: ForwardClient, repeats: RetryBudget
+        self,
+        *,
+        attempts: AttemptRunner,
+        client: ForwardClient,
+        retry_budget: RetryBudget,
     ) -> None:
         self._attempts = attempts
         self._client = client
-        self._retry_budget = repeats
+        self._retry_budget = retry_budget
 
     async def __call__(
         self, exchange: ForwardExchange, next_filter: NextFilter
