--- a/dotterelpaddle/daemon/process.py
+++ b/dotterelpaddle/daemon/process.py
@@ -55,7 +55,7 @@
     )
     with anyio.open_signal_receiver(*STOP_SIGNALS, signal.SIGHUP) as signals:
         async with run_forwarder(
-            settings=settings, surroundings=dependencies, listener=listener
+            settings=settings, dependencies=dependencies, listener=listener
         ):
             async for received in signals:
                 if received in STOP_SIGNALS:
--- a/dotterelpaddle/forwarding/router.py
+++ b/dotterelpaddle/forwarding/router.py
@@ -56,25 +56,25 @@
 async def run_forwarder(
     *,
     settings: ForwardSettings,
-    surroundings: Dependencies,
+    dependencies: Dependencies,
     listener: socket.socket | None = None,
 ) -> AsyncIterator[RunningForwarder]:
     """Run a router until the context ends, then shut it down gracefully.
 
     Args:
         settings: The router's settings.
-        surroundings: Dependencies of the router.
+        dependencies: Dependencies of the router.
         listener: Socket that already listens for callers, None to open one.
 
     Yields:
         The router, which serves callers once it knows configuration and endpoints.
     """
-    parts = build_components(settings=settings, dependencies=surroundings)
+    parts = build_components(settings=settings, dependencies=dependencies)
     app, state = parts.app, parts.state
     grace = settings.shutdown_timeout - settings.drain_time - SHUTDOWN_MARGIN_SECONDS
     async with (
         open_datagram_socket(
-            address=settings.peers, links=surroundings.links
+            address=settings.peers, links=dependencies.links
         ) as datagrams,
         anyio.create_task_group() as tasks,
         AsyncExitStack() as stack,
--- a/dotterelpaddle/tests/forwarding/harness.py
+++ b/dotterelpaddle/tests/forwarding/harness.py
@@ -155,7 +155,7 @@
         router = await self.stack.enter_async_context(
             run_forwarder(
                 settings=settings,
-                surroundings=Dependencies(
+                dependencies=Dependencies(
                     source=source,
                     protocols=PlatformCodec(),
                     documents=PlatformDocumentDecoder(),
