--- a/dotterelpaddle/forwarding/client.py
+++ b/dotterelpaddle/forwarding/client.py
@@ -86,7 +86,7 @@
         response: The httpcore response.
         connection: Connection that carries the answer.
         call: The request that it answers.
-        signs: Records when bytes arrive.
+        liveness: Records when bytes arrive.
     """
 
     def __init__(
@@ -96,14 +96,14 @@
         response: httpcore.Response,
         connection: Connection,
         call: ForwardCall,
-        signs: EndpointLiveness,
+        liveness: EndpointLiveness,
     ) -> None:
         self._head = head
         self._response = response
         self._connection = connection
         self._gap_timeout = call.timeouts.gap
         self._endpoint = call.entry.endpoint
-        self._liveness = signs
+        self._liveness = liveness
 
     @property
     def head(self) -> AnswerHead:
@@ -155,10 +155,10 @@
     """Sends requests to endpoints over pooled connections.
 
     Args:
-        protocols: Encodes requests and decodes answers.
+        codec: Encodes requests and decodes answers.
         backend: Opens connections.
         clock: Monotonic clock.
-        signs: Records activity of endpoints.
+        liveness: Records activity of endpoints.
         notices: Processes what answers report about their endpoint.
         limits: Limits on the connections to each endpoint.
     """
@@ -166,17 +166,17 @@
     def __init__(
         self,
         *,
-        protocols: WireCodec,
+        codec: WireCodec,
         backend: LinkedBackend,
         clock: Clock,
-        signs: EndpointLiveness,
+        liveness: EndpointLiveness,
         notices: EndpointNotices,
         limits: PoolLimits = POOL_LIMITS,
     ) -> None:
-        self._protocols = protocols
+        self._codec = codec
         self._backend = backend
         self._clock = clock
-        self._liveness = signs
+        self._liveness = liveness
         self._notices = notices
         self._limits = limits
         self._pools: dict[tuple[EndpointId, Address], ConnectionPool] = {}
@@ -211,7 +211,7 @@
             self._liveness.record_answer_start(
                 endpoint=call.entry.endpoint, sent_at=sent_at
             )
-            head = self._protocols.decode_answer(
+            head = self._codec.decode_answer(
                 status=response.status, headers=response.headers
             )
             _check_answers(head=head, call=call, reused=connection.reused)
@@ -226,7 +226,7 @@
                 response=response,
                 connection=connection,
                 call=call,
-                signs=self._liveness,
+                liveness=self._liveness,
             )
         finally:
             with anyio.CancelScope(shield=True):
@@ -302,7 +302,7 @@
                 call.observe(Evidence.SENT)
 
     def _request(self, *, call: ForwardCall) -> httpcore.Request:
-        headers = self._protocols.encode_headers(
+        headers = self._codec.encode_headers(
             request=call.request, metadata=call.metadata
         )
         if call.body or call.request.method in ("POST", "PUT", "PATCH"):
--- a/dotterelpaddle/forwarding/components.py
+++ b/dotterelpaddle/forwarding/components.py
@@ -169,10 +169,10 @@
     directory = state.directory
     backend = LinkedBackend(links=dependencies.links)
     client = ForwardClient(
-        protocols=dependencies.protocols,
+        codec=dependencies.protocols,
         backend=backend,
         clock=clock,
-        signs=state.liveness,
+        liveness=state.liveness,
         notices=EndpointNotices(leaving=state.view.leaving, backoffs=state.backoffs),
     )
     peer_summary = PeerSummary(
