--- a/dotterelpaddle/forwarding/app.py
+++ b/dotterelpaddle/forwarding/app.py
@@ -52,7 +52,7 @@
 
     Args:
         pipeline: Filters that each request passes.
-        protocols: Decodes callers' requests.
+        codec: Decodes callers' requests.
         view: Provides the active configuration.
         isolation: Detects that other routers can serve callers better.
         metrics: Counts requests.
@@ -63,14 +63,14 @@
         self,
         *,
         pipeline: NextFilter,
-        protocols: WireCodec,
+        codec: WireCodec,
         view: FleetView,
         isolation: IsolationDetector,
         metrics: ForwardMetrics,
         clock: Clock,
     ) -> None:
         self._pipeline = pipeline
-        self._protocols = protocols
+        self._codec = codec
         self._view = view
         self._isolation = isolation
         self._metrics = metrics
@@ -120,7 +120,7 @@
             clock=self._clock,
         )
         try:
-            request = self._protocols.decode_request(scope=scope)
+            request = self._codec.decode_request(scope=scope)
         except RequestError as error:
             log.warning("request_unreadable", cause=error.message)
             await reply.send_buffered(
--- a/dotterelpaddle/forwarding/components.py
+++ b/dotterelpaddle/forwarding/components.py
@@ -277,7 +277,7 @@
         state=state,
         app=ForwardApp(
             pipeline=compose(filters=filters),
-            protocols=dependencies.protocols,
+            codec=dependencies.protocols,
             view=state.view,
             isolation=isolation,
             metrics=metrics,
