--- a/dotterelpaddle/forwarding/components.py
+++ b/dotterelpaddle/forwarding/components.py
@@ -216,7 +216,7 @@
         loads=state.loads,
         health=state.health,
         reachability=reachability,
-        quiet=state.backoffs,
+        backoffs=state.backoffs,
         cold=state.cold,
         caches=state.caches,
         failure_domain=settings.failure_domain,
--- a/dotterelpaddle/forwarding/placement.py
+++ b/dotterelpaddle/forwarding/placement.py
@@ -76,7 +76,7 @@
         loads: Requests in flight per endpoint.
         health: Results of recent requests per endpoint.
         reachability: Endpoints that this router can't connect to.
-        quiet: Endpoints that asked this router to back off.
+        backoffs: Endpoints that asked this router to back off.
         cold: Limits for endpoints that have just started.
         caches: Prompt parts that each endpoint has cached.
         failure_domain: Failure domain of this router.
@@ -90,7 +90,7 @@
         loads: LoadTracker,
         health: HealthTracker,
         reachability: Reachability,
-        quiet: EndpointBackoffs,
+        backoffs: EndpointBackoffs,
         cold: ColdEndpoints,
         caches: CacheMap,
         failure_domain: FailureDomain,
@@ -101,7 +101,7 @@
         self._health = health
         self._reachability = reachability
         self._candidates = Candidates(
-            view=view, health=health, reachability=reachability, quiet=quiet
+            view=view, health=health, reachability=reachability, quiet=backoffs
         )
         self._cold = cold
         self._caches = caches
--- a/dotterelpaddle/tests/forwarding/test_cold.py
+++ b/dotterelpaddle/tests/forwarding/test_cold.py
@@ -110,7 +110,7 @@
                 failure_domain=HERE,
                 clock=self._clock,
             ),
-            quiet=EndpointBackoffs(clock=self._clock),
+            backoffs=EndpointBackoffs(clock=self._clock),
             cold=self.cold,
             caches=CacheMap(clock=self._clock),
             failure_domain=HERE,
--- a/dotterelpaddle/tests/forwarding/test_herding.py
+++ b/dotterelpaddle/tests/forwarding/test_herding.py
@@ -79,7 +79,7 @@
             failure_domain=HERE,
             clock=lambda: 0.0,
         ),
-        quiet=EndpointBackoffs(clock=lambda: 0.0),
+        backoffs=EndpointBackoffs(clock=lambda: 0.0),
         cold=unbounded_cold_endpoints(view=view),
         caches=caches,
         failure_domain=HERE,
--- a/dotterelpaddle/tests/forwarding/test_placement.py
+++ b/dotterelpaddle/tests/forwarding/test_placement.py
@@ -88,7 +88,7 @@
             loads=loads,
             health=health,
             reachability=reachability,
-            quiet=EndpointBackoffs(clock=lambda: 100.0),
+            backoffs=EndpointBackoffs(clock=lambda: 100.0),
             cold=unbounded_cold_endpoints(view=view),
             caches=caches,
             failure_domain=HERE,
--- a/dotterelpaddle/tests/owners/harness.py
+++ b/dotterelpaddle/tests/owners/harness.py
@@ -90,7 +90,7 @@
                     failure_domain=HERE,
                     clock=self.clock,
                 ),
-                quiet=EndpointBackoffs(clock=self.clock),
+                backoffs=EndpointBackoffs(clock=self.clock),
                 cold=unbounded_cold_endpoints(view=self.view),
                 caches=self.caches,
                 failure_domain=HERE,
