--- a/dotterelpaddle/forwarding/candidates.py
+++ b/dotterelpaddle/forwarding/candidates.py
@@ -34,7 +34,7 @@
         view: Current endpoints and configuration.
         health: Results of recent requests per endpoint.
         reachability: Endpoints that this router can't connect to.
-        quiet: Endpoints that asked this router to back off.
+        backoffs: Endpoints that asked this router to back off.
     """
 
     def __init__(
@@ -43,12 +43,12 @@
         view: FleetView,
         health: HealthTracker,
         reachability: Reachability,
-        quiet: EndpointBackoffs,
+        backoffs: EndpointBackoffs,
     ) -> None:
         self._view = view
         self._health = health
         self._reachability = reachability
-        self._quiet = quiet
+        self._backoffs = backoffs
 
     def usable(
         self,
@@ -71,7 +71,7 @@
             for entry in self._view.ready(service=service)
             if serves_model(entry=entry, request=request)
             and not self._health.is_replaced(endpoint=entry.endpoint)
-            and not self._quiet.is_backing_off(endpoint=entry.endpoint)
+            and not self._backoffs.is_backing_off(endpoint=entry.endpoint)
         ]
 
     def usable_or_fallback(
@@ -97,7 +97,7 @@
             for entry in self._view.last_resort(service=service)
             if entry.endpoint not in excluded
             and serves_model(entry=entry, request=request)
-            and not self._quiet.is_backing_off(endpoint=entry.endpoint)
+            and not self._backoffs.is_backing_off(endpoint=entry.endpoint)
         ]
         for entries in (reachable, untried, last_resort):
             remaining = self._reachability.possibly_reachable(entries=entries)
@@ -122,7 +122,7 @@
             entries=registered
         ):
             return EVACUATED_RETRY_AFTER_SECONDS
-        shortest_wait = self._quiet.shortest_wait(
+        shortest_wait = self._backoffs.shortest_wait(
             entries=self._view.ready(service=service)
         )
         return (
--- a/dotterelpaddle/forwarding/placement.py
+++ b/dotterelpaddle/forwarding/placement.py
@@ -101,7 +101,7 @@
         self._health = health
         self._reachability = reachability
         self._candidates = Candidates(
-            view=view, health=health, reachability=reachability, quiet=backoffs
+            view=view, health=health, reachability=reachability, backoffs=backoffs
         )
         self._cold = cold
         self._caches = caches
