--- a/dotterelpaddle/forwarding/attempts.py
+++ b/dotterelpaddle/forwarding/attempts.py
@@ -165,7 +165,7 @@
         return await self._placer.choose(
             service=exchange.service,
             request=exchange.request,
-            repeatable=exchange.route.retryable,
+            retryable=exchange.route.retryable,
             excluded=excluded | self._residency.forbidden_endpoints(exchange=exchange),
         )
 
--- a/dotterelpaddle/owners/placer.py
+++ b/dotterelpaddle/owners/placer.py
@@ -68,7 +68,7 @@
         *,
         service: ServiceName,
         request: HasPrompt,
-        repeatable: bool,
+        retryable: bool,
         excluded: frozenset[EndpointId],
     ) -> Choice:
         """Choose an endpoint of a service.
@@ -78,7 +78,7 @@
         Args:
             service: The service.
             request: The request to place.
-            repeatable: Whether the router can retry it at another endpoint.
+            retryable: Whether the router can retry it at another endpoint.
             excluded: Endpoints that the router has already tried.
 
         Raises:
@@ -87,7 +87,7 @@
         choice_or_reason = await self._choose_by_owners(
             service=service,
             request=request,
-            repeatable=repeatable,
+            retryable=retryable,
             excluded=excluded,
         )
         if isinstance(choice_or_reason, Choice):
@@ -95,7 +95,7 @@
         choice = self._placer.choose(
             service=service,
             request=request,
-            retryable=repeatable,
+            retryable=retryable,
             excluded=excluded,
             decider=(
                 Decider.NON_OWNER if self._directory.owners() else Decider.OWNERLESS
@@ -108,7 +108,7 @@
         *,
         service: ServiceName,
         request: HasPrompt,
-        repeatable: bool,
+        retryable: bool,
         excluded: frozenset[EndpointId],
     ) -> Choice | LocalChoiceReason:
         if not self._directory.owners():
@@ -141,7 +141,7 @@
                     shard=shard,
                     model=request.model,
                     prompt=request.prompt,
-                    retryable=repeatable,
+                    retryable=retryable,
                     excluded=unusable,
                     ignore_bound=shard == ranked[-1],
                     cached_at=cached_at,
--- a/dotterelpaddle/tests/owners/fleet.py
+++ b/dotterelpaddle/tests/owners/fleet.py
@@ -201,7 +201,7 @@
             choice = await parts.placer.choose(
                 service=SERVICE,
                 request=self._prompt(),
-                repeatable=False,
+                retryable=False,
                 excluded=frozenset(),
             )
             endpoint = choice.entry.endpoint
