--- a/dotterelpaddle/tests/forwarding/harness.py
+++ b/dotterelpaddle/tests/forwarding/harness.py
@@ -229,7 +229,7 @@
             await fleet.add_runner(f"runner-{number + 1}")
         for _ in range(routers):
             router = await fleet.add_router()
-            await wait_until(lambda router=router: router.parts.app.ready)  # type: ignore[misc]
+            await wait_until(lambda router=router: router.components.app.ready)  # type: ignore[misc]
         view = fleet.routers[0].components.state.view if routers else None
         if view is not None:
             await wait_until(lambda: len(view.entries) == runners)
