--- a/dotterelpaddle/peers/messages.py
+++ b/dotterelpaddle/peers/messages.py
@@ -230,8 +230,8 @@
         datagram: The received datagram.
         current_endpoint_id: Returns the id of an endpoint's current incarnation.
             Reports of earlier releases hold names only. Their requests in flight count
-            for the current incarnation, which errs on the safe side; their cached prompt
-            parts do not, since those may belong to an earlier incarnation.
+            for the current incarnation, which errs on the safe side; their cached
+            prompt parts do not, since those may belong to an earlier incarnation.
 
     Raises:
         ControlError: If the datagram is no report of this format version.
--- a/dotterelpaddle/tests/owners/test_starts.py
+++ b/dotterelpaddle/tests/owners/test_starts.py
@@ -34,7 +34,7 @@
     for router in fleet.routers:
         if router.parts is None:
             return False
-        owners_by_domain = router.components.state.directory.owners()
+        owners_by_domain = router.parts.state.directory.owners()
         owners.append(
             {domain: name.router for domain, name in owners_by_domain.items()}
         )
