--- a/dotterelpaddle/forwarding/cold.py
+++ b/dotterelpaddle/forwarding/cold.py
@@ -33,17 +33,18 @@
 """Share of the bound that an owner grants: during a failover two owners may grant."""
 
 OWNERLESS_SHARE = 2 / 3
-"""Share of the bound that routers divide among them where there are no owners."""
+"""Share of the bound that routers divide among themselves if there are no owners."""
 
 RANDOM_DRAW_SHARE = 1 / 3
 """Share of the bound where there are no owners and more routers than requests: a random
-draw decides which routers send one. By chance twice as many may, besides an owner."""
+draw decides which routers send one. By chance twice as many routers may send one, and
+an owner may grant its share besides."""
 
 SETTLING_SECONDS = 2.0
 """Seconds after its start in which a router may know few of the others, so it sends
 nothing to cold endpoints without an owner."""
 
-_SCALE = 2.0**-64
+_DIGEST_SCALE = 2.0**-64
 
 
 class Decider(Enum):
@@ -110,7 +111,8 @@
         slow_start = self._view.slow_starts.get(entry.service)
         if slow_start is None:
             return False
-        # Requests would return from an evacuation a heartbeat before its entry.
+        # After an evacuation the entry reports the cold endpoint only with its next
+        # heartbeat; requests would return before.
         domain = entry.failure_domain
         evacuation_ended_at = self._view.evacuations.ended_at(failure_domain=domain)
         return now - evacuation_ended_at < slow_start.duration
@@ -176,5 +178,5 @@
         per_router = int(OWNERLESS_SHARE * bound / routers)
         if per_router:
             return per_router
-        draw = digest(text=f"{self._router}/{entry.endpoint}") * _SCALE
+        draw = digest(text=f"{self._router}/{entry.endpoint}") * _DIGEST_SCALE
         return int(draw < RANDOM_DRAW_SHARE * bound / routers)
--- a/dotterelpaddle/forwarding/evacuations.py
+++ b/dotterelpaddle/forwarding/evacuations.py
@@ -77,7 +77,7 @@
 
     @property
     def last_ended_at(self) -> float:
-        """Clock time at which the latest evacuation ended; -infinite if none has."""
+        """Clock time of the latest end of any evacuation; -infinite without one."""
         return max(self._ended_at.values(), default=float("-inf"))
 
     def ended_at(self, *, failure_domain: FailureDomain) -> float:
--- a/dotterelpaddle/forwarding/follower.py
+++ b/dotterelpaddle/forwarding/follower.py
@@ -28,18 +28,18 @@
 CONFIGURATION_WAIT_SECONDS = 1.5
 """Seconds that one call waits for a configuration.
 
-A call without an answer times out a second after this. Together with a new call,
-that stays below the two seconds within which a configuration must be in force plus
-the three seconds of undisturbed operation before.
+A call without an answer times out a second after this wait. The wait, that second and
+a new call together stay below the two seconds within which a configuration must be in
+force plus the three seconds of undisturbed operation before.
 """
 
 CONFIRMED_WAIT_SECONDS = 20.0
-"""Seconds that one call waits while another router confirms the version: a change
-still ends the call at once, and the reports of other routers reveal a stalled call."""
+"""Seconds that one call waits while a peer confirms the version: a change still ends
+the call at once, and the reports of peers reveal a stalled call."""
 
 MAX_CONFIGURATION_AGE_SECONDS = 3.0
-"""Seconds since an answer of the platform for which routers rely on a version: the
-duration of one call with its timeout, and the delay of a report."""
+"""Seconds after an answer of the platform for which routers rely on the version in it:
+the duration of one call with its timeout, and the delay of a report."""
 
 ENDPOINTS_WAIT_SECONDS = 0.4
 """Seconds that one call waits for changes of endpoints; a change ends it at once."""
@@ -48,12 +48,12 @@
 """Seconds between calls for endpoints by the designated reader.
 
 Without the interval each heartbeat of each endpoint would end a call. Routers must
-know of a leaving endpoint within two seconds; within the rest of them a report
-arrives, and each router may call the platform itself.
+know of a leaving endpoint within two seconds; the rest of that time is for a report to
+arrive and for a call of each router itself.
 """
 
 MIN_ENDPOINTS_INTERVAL_SECONDS = 0.2
-"""Seconds between calls for endpoints by a router whose peers have later ones."""
+"""Seconds between calls for endpoints by a router whose peers have later entries."""
 
 MAX_ENDPOINTS_AGE_SHARE = 0.7
 """Maximum age of endpoints as a share of the time within which routers must know of a
@@ -61,18 +61,18 @@
 time for a call of the router itself."""
 
 PEER_CHECK_INTERVAL_SECONDS = 0.1
-"""Seconds between checks of what other routers report."""
+"""Seconds between checks of what peers report."""
 
 GOSSIP_CHECK_INTERVAL_SECONDS = 0.3
-"""Seconds between these checks where peers push all updates."""
+"""Seconds between checks of what peers report if they push all updates unasked."""
 
 OUTAGE_AFTER_FAILURE_SECONDS = 1.0
-"""Seconds without an answer to any router, with failed calls of this one, from which
-the gap counts as an outage: no entry expires in less."""
+"""Seconds without an answer to any router that count as an outage if calls of this one
+have failed meanwhile: no entry expires in less."""
 
 OUTAGE_SECONDS = MAX_CONFIGURATION_AGE_SECONDS
-"""Seconds from which the gap counts as an outage if no call has failed yet: a call
-without an answer takes as long to time out."""
+"""Seconds without an answer to any router that count as an outage if no call of this
+one has failed yet: a call without an answer takes as long to time out."""
 
 MIN_RETRY_DELAY_SECONDS = 0.1
 """Seconds before the first retry of a failed call; doubles up to the maximum."""
@@ -90,7 +90,7 @@
     Args:
         source: Store of the configuration and the endpoints.
         view: The view to update.
-        peer_summary: What other routers report about the source.
+        peer_summary: What peers report about the source.
         metrics: Counts calls.
         leaving_propagation_time: Seconds within which all routers must know of a
             leaving endpoint.
--- a/dotterelpaddle/forwarding/health.py
+++ b/dotterelpaddle/forwarding/health.py
@@ -37,7 +37,8 @@
 get the whole load of the service."""
 
 TIMEOUT_MEMORY_SECONDS = 3.0
-"""Seconds within which a second timeout means more than a long queue."""
+"""Seconds after a timeout within which a second one ejects the endpoint: a single one
+may be due to a long queue."""
 
 ERROR_EJECTION_SECONDS = 2.0
 """Seconds of an ejection for a high error rate."""
@@ -152,7 +153,10 @@
         return record is not None and record.replaced
 
     def is_healthy(self, *, endpoint: EndpointId) -> bool:
-        """Return whether an endpoint is not replaced and has no recent hard failure."""
+        """Return whether an endpoint is not replaced and has no hard failure.
+
+        A success that proves the endpoint alive resets the hard failures.
+        """
         record = self._records.get(endpoint)
         return record is None or not (record.replaced or record.hard_failures)
 
@@ -173,7 +177,7 @@
             del self._records[endpoint]
 
     def _exclude_failing(self, entries: list[EndpointEntry]) -> list[EndpointEntry]:
-        """Eject endpoints whose error rate is far above the mean of their service."""
+        """Eject endpoints with an error rate far above the mean; return the others."""
         rates = [self._significant_error_rate(entry.endpoint) for entry in entries]
         if not rates or max(rates) < HIGH_ERROR_RATE:
             return entries
--- a/dotterelpaddle/forwarding/herding.py
+++ b/dotterelpaddle/forwarding/herding.py
@@ -24,7 +24,7 @@
 LARGE_FLEET_ROUTERS = 16
 """Number of routers above which their requests between two reports add up: with 58
 routers an endpoint that all consider the best one gets a dozen requests before any
-router knows of them."""
+report shows them."""
 
 MIN_BOUND_FRACTION = 0.4
 """Minimum fraction of the way to the bound that each of many routers uses; it draws the
--- a/dotterelpaddle/forwarding/interface.py
+++ b/dotterelpaddle/forwarding/interface.py
@@ -243,7 +243,7 @@
 
 
 class PeerStatus(Protocol):
-    """What other routers report about the source."""
+    """What the peers, which are the other routers, report about the source."""
 
     @property
     def is_platform_reader(self) -> bool:
--- a/dotterelpaddle/forwarding/isolation.py
+++ b/dotterelpaddle/forwarding/isolation.py
@@ -34,8 +34,9 @@
     A domain is on the other side if none of its routers sends reports and none of its
     endpoints is reachable: routers alone may be restarting, endpoints alone may be
     dead. A side is isolated if the other one has more domains and at least as many
-    slots of each service. All routers count domains alike, so never are both sides
-    isolated; the slots ensure that callers overload no endpoint on the other side.
+    slots of each service. All routers count domains alike, so the two sides are never
+    both isolated; the slots ensure that callers find each service on the other side and
+    overload no endpoint there.
 
     Args:
         view: The endpoints in force.
@@ -65,7 +66,7 @@
 
     @property
     def isolated(self) -> bool:
-        """Whether the other side has more failure domains and can serve more."""
+        """Whether the other side has more domains and no fewer slots of any service."""
         return self._isolated_at is not None
 
     @property
@@ -88,22 +89,22 @@
             domain for domain, present in presence.items() if not present
         )
         for domain in silent_domains - self._silent_domains:
-            # Requests would detect it too, but there may be none for a while.
+            # Without requests to a silent domain its endpoints would not be suspect.
             self._reachability.suspect_domain(failure_domain=domain)
         self._silent_domains = silent_domains
         unreachable_domains = self._unreachable()
-        # Presence drops routers after a while; their domain stays lost without them.
+        # Presence drops routers that are silent for long; their domain stays lost.
         self._lost_domains = (silent_domains | self._lost_domains) & unreachable_domains
         others = presence.keys() | {
             entry.failure_domain for entry in self._view.routed_entries
         }
         here = (others | {self._failure_domain}) - self._lost_domains
         isolated = (
-            len(self._lost_domains) > len(here) and self._other_side_serves_more()
+            len(self._lost_domains) > len(here) and self._other_side_has_enough_slots()
         )
         self._set_isolated(isolated=isolated)
 
-    def _other_side_serves_more(self) -> bool:
+    def _other_side_has_enough_slots(self) -> bool:
         """Return whether no service has more slots on this side than on the other."""
         surplus: Counter[ServiceName] = Counter()
         for entry in self._view.routed_entries:
--- a/dotterelpaddle/forwarding/leaving.py
+++ b/dotterelpaddle/forwarding/leaving.py
@@ -1,8 +1,8 @@
 """Endpoints that have reported in an answer that they are leaving.
 
-Their entries say so as well, but later: the store may be slow, or unavailable for many
-seconds. A report concerns one incarnation of an endpoint. No entry revokes it, and it
-does not apply to any other incarnation at the address.
+Their entries state it as well, but later: the store may be slow, or unavailable for
+many seconds. A report concerns one incarnation of an endpoint. No entry revokes it, and
+it does not apply to any other incarnation at the address.
 """
 
 from __future__ import annotations
@@ -24,13 +24,13 @@
 
 SERVE_MARGIN_SECONDS = 0.3
 """Seconds before the end of its serve time from which a leaving endpoint gets no
-requests: connecting and sending take a part of them."""
+requests: connecting and sending take a part of that time."""
 
 RETENTION_SECONDS = 600.0
 """Seconds for which records stay; the endpoints have stopped long before."""
 
 MAX_NOTICES_PER_REPORT = 16
-"""Maximum number of notices in one report, 0.5 KB."""
+"""Maximum number of notices in one report to other routers, 0.5 KB."""
 
 RESEND_INTERVAL_SECONDS = 2.0
 """Seconds until notices are sent again, for routers that were partitioned or have just
@@ -104,7 +104,7 @@
         )
 
     def take_due_notices(self) -> tuple[LeavingNotice, ...]:
-        """Return the notices for the next report, the latest first."""
+        """Return the notices for the next report to other routers, the latest first."""
         now = self._clock()
         self._expire(now=now)
         due = [
--- a/dotterelpaddle/forwarding/reachability.py
+++ b/dotterelpaddle/forwarding/reachability.py
@@ -3,7 +3,8 @@
 A failed connection costs a request the time until the failure is known. So once one
 request has failed, the router probes the endpoint in the background and sends it no
 requests until a connection succeeds. A connection that timed out makes the whole
-failure domain suspect: a partitioned domain takes all of its endpoints with it.
+failure domain suspect, unless it is the router's own: a partition cuts off all
+endpoints of a domain at once.
 """
 
 from __future__ import annotations
--- a/dotterelpaddle/forwarding/removals.py
+++ b/dotterelpaddle/forwarding/removals.py
@@ -68,7 +68,7 @@
     def __init__(self, *, clock: Clock) -> None:
         self._clock = clock
         self._removed: dict[EndpointName, _Tombstone] = {}
-        self._returned_at = float("-inf")
+        self._platform_recovered_at = float("-inf")
 
     @property
     def held(self) -> tuple[EndpointEntry, ...]:
@@ -77,7 +77,7 @@
 
     def note_platform_recovery(self) -> None:
         """Record that the platform is back; entries may be missing for a while."""
-        self._returned_at = self._clock()
+        self._platform_recovered_at = self._clock()
 
     def removed_since(self, *, revision: Revision) -> dict[EndpointName, Revision]:
         """Names of entries removed after a revision, with their revisions."""
@@ -106,8 +106,8 @@
         removed = self._removed.get(entry.name)
         if removed is None:
             return False
-        earlier_start = entry.incarnation < removed.entry.incarnation
-        if earlier_start or removed.revision >= entry.revision:
+        from_earlier_incarnation = entry.incarnation < removed.entry.incarnation
+        if from_earlier_incarnation or removed.revision >= entry.revision:
             return True
         del self._removed[entry.name]
         return False
@@ -115,7 +115,7 @@
     def add(self, *, entry: EndpointEntry, revision: Revision) -> None:
         """Add the tombstone of a removed entry."""
         now = self._clock()
-        held_until = self._returned_at + RECOVERY_HOLD_SECONDS
+        held_until = self._platform_recovered_at + RECOVERY_HOLD_SECONDS
         held = held_until > now and entry.state is EndpointState.READY
         self._removed[entry.name] = _Tombstone(
             entry=entry,
--- a/dotterelpaddle/forwarding/settings.py
+++ b/dotterelpaddle/forwarding/settings.py
@@ -21,7 +21,7 @@
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class ColdBounds:
-    """Request rate of a cold endpoint, relative to the rate that its service states.
+    """Bound on a cold endpoint's request rate, by the rate that its service states.
 
     Attributes:
         multiple: Multiple of the stated requests per second.
@@ -42,7 +42,7 @@
         callers: Address that it listens on for callers.
         readiness: Address of the readiness check of the balancer.
         control: Address from which other routers fetch its state.
-        peers: Address that it exchanges datagrams with other routers on.
+        peers: Address on which it exchanges datagrams with other routers.
         link_mbps: Bandwidth of its host's link, Mbit/s; in a large fleet the routers
             with the best links aggregate for the others.
         metrics: Address that serves metrics besides the control address, None for
@@ -100,7 +100,7 @@
     listen = top.section("listen")
     peers = top.section("peers")
     own = peers.address("address")
-    # Seeds are control addresses; ports are the same on all hosts.
+    # The file names control addresses; the datagram port is the same on all hosts.
     seeds = tuple(
         Address(host=seed.host, port=own.port) for seed in peers.addresses("seeds")
     )
@@ -114,13 +114,13 @@
         seeds=seeds,
         store=top.address("store"),
         shutdown_timeout=top.number("shutdown_seconds", minimum=1.0),
-        retry_limits=_repeats(top.section("repeats")),
+        retry_limits=_retry_limits(top.section("repeats")),
         leaving_propagation_time=top.number("leaving_ms", minimum=100.0, default=2000.0)
         / MS_PER_SECOND,
         link_mbps=round(peers.number("link_mbps", default=0.0)),
         metrics=listen.address("metrics") if listen.has("metrics") else None,
         first_start=top.flag("first_start", default=False),
-        cold_bounds=_cold(top.section("cold")) if top.has("cold") else None,
+        cold_bounds=_cold_bounds(top.section("cold")) if top.has("cold") else None,
         regions=_regions(top.section("regions")) if top.has("regions") else {},
     )
     for section in (listen, peers, top):
@@ -132,7 +132,7 @@
     return {FailureDomain(name): Region(section.text(name)) for name in section.names}
 
 
-def _cold(section: Section) -> ColdBounds:
+def _cold_bounds(section: Section) -> ColdBounds:
     bounds = ColdBounds(
         multiple=section.number("multiple"), allowance=section.number("allowance")
     )
@@ -140,7 +140,7 @@
     return bounds
 
 
-def _repeats(section: Section) -> RetryLimits:
+def _retry_limits(section: Section) -> RetryLimits:
     limits = RetryLimits(
         share=section.number("share"),
         allowance=section.number("allowance"),
--- a/dotterelpaddle/forwarding/timeouts.py
+++ b/dotterelpaddle/forwarding/timeouts.py
@@ -37,7 +37,7 @@
 
 GAP_RATIO = 2.7
 """Maximum gap between two events as a multiple of the route's gap objective: callers
-give up at eight times the objective."""
+close a stream at eight times the objective."""
 
 MIN_GAP_SECONDS = 0.45
 """Seconds between two events that are always allowed: an engine needs them to prefill
--- a/dotterelpaddle/forwarding/unusable.py
+++ b/dotterelpaddle/forwarding/unusable.py
@@ -21,8 +21,8 @@
 class UnusableEntries:
     """Logs each unusable entry once, and again when its error changes.
 
-    Each heartbeat rewrites such an entry about once a second; logging every write would
-    push other lines out of the logs.
+    Heartbeats rewrite such an entry about once a second; logging every write would push
+    other lines out of the logs.
     """
 
     def __init__(self) -> None:
--- a/dotterelpaddle/tests/forwarding/test_cold.py
+++ b/dotterelpaddle/tests/forwarding/test_cold.py
@@ -94,15 +94,15 @@
             router_count=lambda: self.routers,
             clock=self._clock,
         )
-        shares = TotalsTracker(failure_domain=HERE, clock=self._clock)
-        shares.receive(
+        totals = TotalsTracker(failure_domain=HERE, clock=self._clock)
+        totals.receive(
             router=RouterId("other"),
             failure_domain=HERE,
             totals=RequestTotals(loads={WARM: 12}),
         )
         self.placer = ForwardPlacer(
             view=self.view,
-            loads=LoadTracker(totals=shares),
+            loads=LoadTracker(totals=totals),
             health=HealthTracker(clock=self._clock),
             reachability=Reachability(
                 view=self.view,
@@ -227,7 +227,7 @@
     assert raised.value.retry_after
 
 
-def test_endpoints_are_cold_after_an_evacuation_before_their_entries() -> None:
+def test_endpoint_is_cold_after_an_evacuation_before_its_entry_reports_it() -> None:
     """Guards against a herd of requests to a domain right after its evacuation."""
     router = Router(name="own", routers=74)
     router.settle()
--- a/dotterelpaddle/tests/forwarding/test_fleet_updates.py
+++ b/dotterelpaddle/tests/forwarding/test_fleet_updates.py
@@ -191,8 +191,8 @@
 
 async def test_router_without_store_access_gets_updates_from_peers() -> None:
     async with run_fleet() as fleet:
-        isolated = await fleet.add_router(store=NO_STORE)
-        await wait_until(lambda: isolated.components.app.ready)
+        storeless = await fleet.add_router(store=NO_STORE)
+        await wait_until(lambda: storeless.components.app.ready)
         assert (await fleet.call("/safe/", router=1)).status == 200
 
         fleet.store.configure(configuration=configuration(version=2))
--- a/dotterelpaddle/tests/forwarding/test_herding.py
+++ b/dotterelpaddle/tests/forwarding/test_herding.py
@@ -58,9 +58,9 @@
     view.apply_endpoints_update(
         update=EndpointsUpdate(revision=Revision(1), entries=entries, is_snapshot=True)
     )
-    shares = TotalsTracker(failure_domain=HERE, clock=lambda: 0.0)
-    shares.is_aggregator = False
-    shares.receive(
+    tracker = TotalsTracker(failure_domain=HERE, clock=lambda: 0.0)
+    tracker.is_aggregator = False
+    tracker.receive(
         router=RouterId("other"),
         failure_domain=HERE,
         totals=RequestTotals(
@@ -71,7 +71,7 @@
     caches.record_prompt(endpoint=HOLDER, request=HOT)
     return ForwardPlacer(
         view=view,
-        loads=LoadTracker(totals=shares),
+        loads=LoadTracker(totals=tracker),
         health=HealthTracker(clock=lambda: 0.0),
         reachability=Reachability(
             view=view,
@@ -157,13 +157,13 @@
     assert max(chosen.values()) < routers / 2
 
 
-@given(mean=st.floats(0, 100), nearness=st.floats(MIN_BOUND_FRACTION, 1.0))
+@given(mean=st.floats(0, 100), bound_fraction=st.floats(MIN_BOUND_FRACTION, 1.0))
 def test_bound_is_between_the_mean_and_the_full_bound(
-    mean: float, nearness: float
+    mean: float, bound_fraction: float
 ) -> None:
     entry = make_entry("a", slots=64)
 
-    bound = load_bound(entry=entry, mean=mean, bound_fraction=nearness)
+    bound = load_bound(entry=entry, mean=mean, bound_fraction=bound_fraction)
 
     full_bound = load_bound(entry=entry, mean=mean)
     assert min(mean + 1, full_bound) - 1e-9 <= bound <= max(mean + 1, full_bound) + 1e-9
--- a/dotterelpaddle/tests/forwarding/test_loads.py
+++ b/dotterelpaddle/tests/forwarding/test_loads.py
@@ -11,8 +11,8 @@
 
 
 def _tracker() -> tuple[LoadTracker, TotalsTracker]:
-    shares = TotalsTracker(failure_domain=HERE, clock=lambda: 0.0)
-    return LoadTracker(totals=shares), shares
+    totals = TotalsTracker(failure_domain=HERE, clock=lambda: 0.0)
+    return LoadTracker(totals=totals), totals
 
 
 def test_prompt_waits_for_prefill_until_its_answer_starts() -> None:
@@ -38,8 +38,8 @@
 
 
 def test_queued_tokens_are_summed_over_all_routers() -> None:
-    tracker, shares = _tracker()
-    shares.receive(
+    tracker, totals = _tracker()
+    totals.receive(
         router=RouterId("other"),
         failure_domain=HERE,
         totals=RequestTotals(loads={ENDPOINT: 2}, queued_tokens={ENDPOINT: 300}),
@@ -47,4 +47,4 @@
     with tracker.track(endpoint=ENDPOINT, work_tokens=700):
         assert tracker.queued_tokens()[ENDPOINT] == 1000
         own = RequestTotals(loads=tracker.own, queued_tokens=tracker.own_queued_tokens)
-        assert shares.domain_totals(own=own).queued_tokens == {ENDPOINT: 1000}
+        assert totals.domain_totals(own=own).queued_tokens == {ENDPOINT: 1000}
--- a/dotterelpaddle/tests/forwarding/test_reachability.py
+++ b/dotterelpaddle/tests/forwarding/test_reachability.py
@@ -35,10 +35,10 @@
         """Make all endpoints unreachable and wait until the first router knows it."""
         self.ports = {address.port for address in fleet.addresses.values()}
         await fleet.call("/safe/")
-        parts = fleet.routers[0].components
-        entries = parts.state.view.entries
+        components = fleet.routers[0].components
+        entries = components.state.view.entries
         await wait_until(
-            lambda: not parts.reachability.possibly_reachable(entries=entries)
+            lambda: not components.reachability.possibly_reachable(entries=entries)
         )
 
 
@@ -73,11 +73,13 @@
     partition = Partition(monkeypatch)
     async with run_fleet(runners=2) as fleet:
         await partition.cut_off(fleet=fleet)
-        parts = fleet.routers[0].components
-        entries = parts.state.view.entries
+        components = fleet.routers[0].components
+        entries = components.state.view.entries
         partition.ports.clear()
         await wait_until(
-            lambda: len(parts.reachability.reachable(entries=entries)) == len(entries)
+            lambda: (
+                len(components.reachability.reachable(entries=entries)) == len(entries)
+            )
         )
         answer = await fleet.call("/safe/")
 
--- a/dotterelpaddle/tests/forwarding/test_starts.py
+++ b/dotterelpaddle/tests/forwarding/test_starts.py
@@ -169,7 +169,7 @@
 
 
 def _receive(view: FleetView, *rows: tuple[int, int]) -> None:
-    """Apply rows of one endpoint, each a revision and a start."""
+    """Apply rows of one endpoint, each a revision and the number of its incarnation."""
     for revision, start in rows:
         value = _value(
             start=FIRST_INCARNATION + start, seq=9, state=EndpointState.READY
@@ -204,8 +204,8 @@
 def test_state_of_an_earlier_incarnation_does_not_apply_to_the_next() -> None:
     view = FleetView(clock=lambda: 0.0)
     caches, health = CacheMap(clock=lambda: 0.0), HealthTracker(clock=lambda: 0.0)
-    shares = TotalsTracker(failure_domain=FailureDomain("here"), clock=lambda: 0.0)
-    loads = LoadTracker(totals=shares)
+    totals = TotalsTracker(failure_domain=FailureDomain("here"), clock=lambda: 0.0)
+    loads = LoadTracker(totals=totals)
     _receive(view, (1, 0))
     (before,) = view.entries
     caches.record_part(endpoint=before.endpoint, part=7)
