--- a/dotterelpaddle/forwarding/caches.py
+++ b/dotterelpaddle/forwarding/caches.py
@@ -32,8 +32,9 @@
 """Parts that the map holds: 3 MB, and far more than endpoints can cache."""
 
 MAX_STARTUP_WAIT_SECONDS = 0.3
-"""Seconds that requests wait after a router's start until the map is populated. That
-takes about 0.1 s; reading a prompt of 10,000 tokens takes 0.12 s or more."""
+"""Seconds that requests wait after a router's start until the map is populated.
+Populating it takes about 0.1 s; reading a prompt of 10,000 tokens takes 0.12 s or
+more."""
 
 MIN_REPEAT_REPORT_SECONDS = 20.0
 """Seconds between two reports that an endpoint still uses a known part. Other routers
@@ -88,7 +89,7 @@
         """Wait until the map is populated, at most MAX_STARTUP_WAIT_SECONDS.
 
         A prompt that is placed earlier may go to an endpoint that has to read it
-        again. That takes as long as the wait and delays other requests as well.
+        again. Reading it takes as long as the wait and delays other requests as well.
         """
         with anyio.move_on_after(MAX_STARTUP_WAIT_SECONDS):
             await self._populated.wait()
@@ -143,7 +144,7 @@
             self._pending[UseOrigin.LOCAL].discard(use=use)
 
     def record_part(self, *, endpoint: EndpointId, part: PartTag) -> None:
-        """Record that an endpoint has a part, and queue that for other routers."""
+        """Record that an endpoint has a part, and queue the use for reports."""
         self._record_use((part, endpoint), UseOrigin.LOCAL, self._clock())
 
     def receive(
@@ -161,7 +162,7 @@
             self._record_use(use, forward_as, now)
 
     def take_pending(self, *, origin: UseOrigin = UseOrigin.LOCAL) -> list[PartUse]:
-        """Return the uses of an origin for the next report; each goes into several."""
+        """Return the uses of an origin for the next report; each use is in several."""
         return self._pending[origin].take()
 
     def all_uses(self) -> list[PartUse]:
--- a/dotterelpaddle/forwarding/candidates.py
+++ b/dotterelpaddle/forwarding/candidates.py
@@ -20,7 +20,7 @@
 NO_ENDPOINT_RETRY_AFTER_SECONDS = 0.3
 """Retry-after for callers when the router knows no usable endpoint.
 
-A starting endpoint registers within one or two seconds; a standby takes over at once.
+A starting endpoint registers within one or two seconds; others take over at once.
 """
 
 EVACUATED_RETRY_AFTER_SECONDS = 1.0
@@ -91,7 +91,7 @@
         usable = self._health.usable(entries=reachable)
         if usable:
             return usable
-        # All endpoints failed recently: trying one of them beats refusing the request.
+        # All endpoints failed recently: trying one of them is better than a refusal.
         last_resort = [
             entry
             for entry in self._view.last_resort(service=service)
@@ -114,7 +114,8 @@
     ) -> float:
         """Return the seconds until an endpoint may be usable again.
 
-        If all remaining endpoints are backing off, this is the shortest backoff. An
+        If all remaining endpoints are backing off, this is the shortest backoff. If all
+        endpoints are evacuated, callers wait longer than if none is known, because an
         evacuation lasts for many seconds.
         """
         registered = self._view.registered(service=service)
--- a/dotterelpaddle/forwarding/choice.py
+++ b/dotterelpaddle/forwarding/choice.py
@@ -43,8 +43,8 @@
         missing_tokens: Shared prompt tokens that the endpoint has not cached.
         work_tokens: Work before the endpoint can answer, in prompt tokens that it
             could read in the same time.
-        fetch_from: Endpoint whose cache has more of the missing tokens, None if no
-            endpoint has.
+        fetch_from: Endpoint whose cache has more of the missing tokens, None if a fetch
+            would save fewer than MIN_FETCH_TOKENS.
         new_parts: Prompt parts that were not recorded at the endpoint before.
         decided_by: Shard owner that made the choice, None if this router did.
         local_reason: Why this router made the choice, None if an owner did.
--- a/dotterelpaddle/forwarding/components.py
+++ b/dotterelpaddle/forwarding/components.py
@@ -128,7 +128,7 @@
         reachability: Probes endpoints that could not be reached.
         termination_prober: Determines whether an endpoint that broke a connection
             has crashed.
-        isolation: Detects that this router is cut off from most endpoints.
+        isolation: Detects whether this router is on the smaller side of a partition.
         exchange: Exchanges reports with other routers.
         owners: Exchanges placement requests and counts with shard owners.
         fetcher: Fetches missing state from other routers.
--- a/dotterelpaddle/forwarding/crashes.py
+++ b/dotterelpaddle/forwarding/crashes.py
@@ -41,16 +41,16 @@
 """Seconds an attempt counts as in flight; by then a stream has begun or is queued."""
 
 MIN_WAIT_SECONDS = 1.0
-"""Retry-after for a caller whose request has an attempt in flight elsewhere."""
+"""Minimum retry-after, also while the request has an attempt in flight elsewhere."""
 
 MAX_SUSPECTS = 256
 """Tracked requests, 200 KB: all requests of several crashed endpoints."""
 
 REPORT_INTERVAL_SECONDS = 2.0
-"""Seconds between reports of several crashes, for routers cut off or just started."""
+"""Seconds between reports of a request's crashes, for routers cut off or new."""
 
 ONE_CRASH_INTERVAL_SECONDS = 10.0
-"""Same for a request with one crash; callers repeat few of these requests."""
+"""Same for a request with one crash; callers retry few of these requests."""
 
 MAX_NOTES_PER_REPORT = 12
 """Maximum number of notes in one report, 0.7 KB."""
--- a/dotterelpaddle/forwarding/liveness.py
+++ b/dotterelpaddle/forwarding/liveness.py
@@ -1,6 +1,6 @@
 """Distinguishes endpoints that are slow for all requests from lost requests.
 
-If a router gives up on a request and retries it at another endpoint, the request runs
+If a router retries an unanswered request at another endpoint, the request may run
 twice. If all endpoints are slow, such retries add load and make them slower.
 """
 
@@ -16,7 +16,7 @@
 MAX_SILENCE_SECONDS = 0.15
 """Seconds since the last bytes from an endpoint for which it counts as alive. An
 endpoint that decodes several streams sends bytes every 20 to 60 ms. The limit delays
-giving up on an endpoint that crashed or is cut off by no more than this."""
+a retry after an endpoint crashed or was cut off by no more than this."""
 
 MIN_OVERTAKING_ANSWERS = 3
 """Answers to later requests that must have begun before a request counts as lost.
--- a/dotterelpaddle/forwarding/placement.py
+++ b/dotterelpaddle/forwarding/placement.py
@@ -40,7 +40,7 @@
     from dotterelpaddle.ids import EndpointId, FailureDomain, ServiceName
 
 MIN_FETCH_TOKENS = 256
-"""Shared prompt tokens below which computing them again is faster than a fetch from
+"""Shared prompt tokens below which reading them again is faster than a fetch from
 another endpoint's cache, which takes 5 ms to set up."""
 
 MAX_DOMAIN_SPREAD_TOKENS = 100
@@ -52,9 +52,9 @@
 so that routers that receive the prompt concurrently send it to the same endpoint."""
 
 LARGE_FLEET_AFFINITY_TOKENS = 1000
-"""Replaces AFFINITY_TOKENS in large fleets, where a router learns of a cached prompt
-half a second later. After a restart of all routers the preferred endpoint still has
-most prompts, before any engine has listed its cache."""
+"""Replaces AFFINITY_TOKENS at shard owners and in large fleets, where a router learns
+of a cached prompt half a second later. After a restart of all routers the preferred
+endpoint still has most prompts, before any engine has listed its cache."""
 
 NON_RETRYABLE_FAILURE_LOAD = 10.0
 """Requests in flight that weigh as much as an error rate of 1, for a request that the
@@ -65,7 +65,7 @@
 reached their limit for the current second."""
 
 RETRYABLE_FAILURE_LOAD = 3.0
-"""Same for a request that the router can retry; a retry only costs time."""
+"""NON_RETRYABLE_FAILURE_LOAD for a retryable request; a retry only costs time."""
 
 
 class ForwardPlacer:
--- a/dotterelpaddle/forwarding/request_totals.py
+++ b/dotterelpaddle/forwarding/request_totals.py
@@ -65,7 +65,8 @@
             but the recipient.
         routers: Number of these routers.
         loads: Their requests in flight, by endpoint.
-        queued_tokens: Prompt tokens that these requests still wait for, by endpoint.
+        queued_tokens: Prompt tokens of these requests that endpoints have yet to read,
+            by endpoint.
         retries: Their requests and retries in the last window, by service.
     """
 
@@ -190,7 +191,7 @@
         )
 
     def totals_except(self, *, own: RequestTotals, router: RouterId) -> RequestTotals:
-        """Return the sum of all routers but one of this failure domain."""
+        """Return the sum of all routers except `router`, to send to that router."""
         same_domain = self._same_domain(max_age=MAX_TOTALS_AGE_SECONDS)
         same_domain.pop(router, None)
         all_totals = [own, *(received.totals for received in same_domain.values())]
--- a/dotterelpaddle/tests/forwarding/crash_world.py
+++ b/dotterelpaddle/tests/forwarding/crash_world.py
@@ -3,7 +3,7 @@
 The routers run the real code, from a caller's request to the connection to an endpoint,
 including the reports between them. Endpoints are stand-ins with a few slots; they crash
 and restart at the same address under another name. Updates of the store are delayed: an
-entry outlives its endpoint by seconds, until missing heartbeats are detected.
+entry remains for seconds after a crash, until missing heartbeats are detected.
 """
 
 from __future__ import annotations
@@ -61,10 +61,10 @@
 """Minimum and maximum seconds until a crashed endpoint has restarted."""
 
 REMOVAL_DELAY_SECONDS = 3.6
-"""Seconds until routers see that the entry of a crashed endpoint is removed."""
+"""Seconds until the store removes the entry of a crashed endpoint."""
 
 START_DELAY_SECONDS = (0.1, 0.9)
-"""Minimum and maximum seconds until routers see a change of an entry."""
+"""Minimum and maximum seconds until routers see a changed or removed entry."""
 
 MIN_STABLE_SECONDS = 3.0
 """Seconds without a fault after which all routers must have the same information."""
--- a/dotterelpaddle/tests/forwarding/test_aggregation.py
+++ b/dotterelpaddle/tests/forwarding/test_aggregation.py
@@ -76,11 +76,11 @@
 async def test_member_continues_without_aggregators() -> None:
     async with run_fleet(routers=0) as fleet:
         member = await _add_member(fleet)
-        parts = fleet.routers[member].components
+        components = fleet.routers[member].components
         for router in fleet.routers[:member]:
             router.components.exchange._plan.recipients = list  # type: ignore[method-assign]
 
-        await wait_until(lambda: parts.state.totals.is_aggregator)
+        await wait_until(lambda: components.state.totals.is_aggregator)
         answer = await fleet.call("/safe/", router=member)
 
     assert answer.status == 200
--- a/dotterelpaddle/tests/forwarding/test_crash_incident.py
+++ b/dotterelpaddle/tests/forwarding/test_crash_incident.py
@@ -1,4 +1,4 @@
-"""A request that crashes every engine which runs it.
+"""A request that crashes every engine that runs it.
 
 Guards against this incident: one caller's request crashed 16 to 21 engines of a
 service with five at a time, behind nine routers, and broke most streams of other
@@ -28,21 +28,21 @@
 from dotterelpaddle.tests.virtual_time import run_in_virtual_time
 
 MAX_LATE_ARRIVALS = 3
-"""Maximum number of such late arrivals."""
+"""Maximum arrivals of the request later than MIN_STABLE_SECONDS after its third crash
+or, in the test of a partition, after the partition ended."""
 
 REQUESTS_PER_SECOND = 34.0
 """Requests of other callers per second."""
 
 DURATION_SECONDS = 30.0
 
-
 PARTITION_SECONDS = 8.0
 """Seconds for which some routers are partitioned from the others."""
 
 PARTITION_END_SECONDS = DISCOVERY_SECONDS + PARTITION_SECONDS
 
 
-async def _comes_again(
+async def _send_culprit_and_others(
     world: CrashWorld, callers: Callers, *, pause: float, path: str = "/stream/again/"
 ) -> None:
     world.tasks.start_soon(
@@ -52,7 +52,7 @@
     await anyio.sleep(CALL_TIMEOUT_SECONDS)
 
 
-def _play(script, **fields) -> tuple[CrashWorld, Callers]:
+def _run_script(script, **fields) -> tuple[CrashWorld, Callers]:
     world = CrashWorld(**fields)
     callers = Callers(world=world)
 
@@ -66,7 +66,7 @@
 @pytest.mark.parametrize(("seed", "pause"), [(1, 0.25), (2, 1.0)])
 def test_request_that_crashes_endpoints_is_blocked(seed: int, pause: float) -> None:
     """Guards against one request that crashes all endpoints of a service."""
-    world, _ = _play(partial(_comes_again, pause=pause), seed=seed)
+    world, _ = _run_script(partial(_send_culprit_and_others, pause=pause), seed=seed)
 
     assert world.culprits_later_than(seconds=MIN_STABLE_SECONDS) <= MAX_LATE_ARRIVALS
 
@@ -76,15 +76,17 @@
     path: str,
 ) -> None:
     """Guards against blocking only resumable streams."""
-    world, _ = _play(partial(_comes_again, pause=0.5, path=path), seed=3)
+    world, _ = _run_script(
+        partial(_send_culprit_and_others, pause=0.5, path=path), seed=3
+    )
 
     assert world.culprits_later_than(seconds=MIN_STABLE_SECONDS) <= MAX_LATE_ARRIVALS
 
 
 def test_large_fleet_receives_notes_through_aggregators() -> None:
     """Guards against notes that spread only if all routers report to all others."""
-    script = partial(_comes_again, pause=0.25)
-    world, _ = _play(script, seed=4, routers=30, engines=12)
+    script = partial(_send_culprit_and_others, pause=0.25)
+    world, _ = _run_script(script, seed=4, routers=30, engines=12)
 
     assert world.culprits_later_than(seconds=MIN_STABLE_SECONDS) <= MAX_LATE_ARRIVALS
 
@@ -94,9 +96,9 @@
 
     async def _routers_stop(world: CrashWorld, callers: Callers) -> None:
         world.tasks.start_soon(_stop_in_turn, world)
-        await _comes_again(world, callers, pause=0.25)
+        await _send_culprit_and_others(world, callers, pause=0.25)
 
-    world, _ = _play(_routers_stop, seed=5)
+    world, _ = _run_script(_routers_stop, seed=5)
 
     assert world.culprits_later_than(seconds=MIN_STABLE_SECONDS) <= MAX_LATE_ARRIVALS
 
@@ -107,9 +109,9 @@
     async def _cut(world: CrashWorld, callers: Callers) -> None:
         world.cut(hosts=frozenset(world.hosts[:3]))
         world.tasks.start_soon(_heal, world)
-        await _comes_again(world, callers, pause=0.25)
+        await _send_culprit_and_others(world, callers, pause=0.25)
 
-    world, _ = _play(_cut, seed=6)
+    world, _ = _run_script(_cut, seed=6)
 
     late = [
         each
@@ -128,7 +130,7 @@
         await callers.send_others(rate=REQUESTS_PER_SECOND, seconds=20.0)
         await anyio.sleep(CALL_TIMEOUT_SECONDS)
 
-    world, _ = _play(_crashes, seed=seed, engines=9, routers=3)
+    world, _ = _run_script(_crashes, seed=seed, engines=9, routers=3)
 
     trackers = [host.parts.state.crashes for host in world.hosts if host.parts]
     assert [tracker.blocked_count for tracker in trackers] == [0, 0, 0]
@@ -139,7 +141,7 @@
         await callers.send_others(rate=REQUESTS_PER_SECOND, seconds=10.0)
         await anyio.sleep(CALL_TIMEOUT_SECONDS)
 
-    _, callers = _play(_calm)
+    _, callers = _run_script(_calm)
 
     assert callers.others.share == 1.0
     assert callers.others.refused == 0
--- a/dotterelpaddle/tests/forwarding/test_liveness.py
+++ b/dotterelpaddle/tests/forwarding/test_liveness.py
@@ -1,8 +1,9 @@
 """Requests that wait at slow endpoints, and requests that are lost.
 
 Guards against retries that add load: two engines have the load of eight and read most
-prompts anew. All requests wait for a second there, and a retry at the other engine
-would run twice. An engine that loses some requests still answers later ones.
+prompts anew. All requests wait for a second there, and a request that is retried at
+the other engine would run twice. An engine that loses some requests still answers
+later ones.
 """
 
 from __future__ import annotations
--- a/dotterelpaddle/tests/forwarding/test_placement.py
+++ b/dotterelpaddle/tests/forwarding/test_placement.py
@@ -223,8 +223,8 @@
     first = world.choose(LONG)
     world.draining = frozenset({first.entry.endpoint})
     leaving = replace(first.entry, state=EndpointState.DRAINING, revision=Revision(2))
-    read = EndpointsUpdate(revision=Revision(2), entries=(leaving,))
-    world.state.view.apply_endpoints_update(update=read)
+    update = EndpointsUpdate(revision=Revision(2), entries=(leaving,))
+    world.state.view.apply_endpoints_update(update=update)
 
     again = world.choose(LONG)
 
@@ -236,9 +236,9 @@
 def test_prompt_is_fetched_from_an_endpoint_with_a_removed_entry() -> None:
     world = World()
     first = world.choose(LONG)
-    gone = {first.entry.name: Revision(2)}
-    read = EndpointsUpdate(revision=Revision(2), entries=(), removed=gone)
-    world.state.view.apply_endpoints_update(update=read)
+    removed = {first.entry.name: Revision(2)}
+    update = EndpointsUpdate(revision=Revision(2), entries=(), removed=removed)
+    world.state.view.apply_endpoints_update(update=update)
 
     assert world.choose(LONG).fetch_from is first.entry
 
@@ -247,9 +247,9 @@
     world = World()
     first = world.choose(LONG)
     world.state.health.record_hard_failure(entry=first.entry, cause="broke off")
-    gone = {first.entry.name: Revision(2)}
-    read = EndpointsUpdate(revision=Revision(2), entries=(), removed=gone)
-    world.state.view.apply_endpoints_update(update=read)
+    removed = {first.entry.name: Revision(2)}
+    update = EndpointsUpdate(revision=Revision(2), entries=(), removed=removed)
+    world.state.view.apply_endpoints_update(update=update)
 
     assert world.choose(LONG).fetch_from is None
 
