--- a/dotterelpaddle/daemon/unused_imports.py
+++ b/dotterelpaddle/daemon/unused_imports.py
@@ -37,8 +37,9 @@
     if spec is None:
         # The package is missing; a later import of it raises the error.
         return
-    # Registers the package without running its code. It has its path, so that imports
-    # find its modules, and the two names that they and this project use.
+    # Register the package without running its code. The registered package has its
+    # path, so that imports find its modules, and the two names that these modules and
+    # this project use.
     package = module_from_spec(spec)
     sys.modules[SERVER_PACKAGE] = package
     vars(package)["Config"] = import_module(f"{SERVER_PACKAGE}.config").Config
--- a/dotterelpaddle/forwarding/app.py
+++ b/dotterelpaddle/forwarding/app.py
@@ -96,7 +96,7 @@
     def _unready_seconds(self) -> float | None:
         """Seconds since the load balancer could first see this router as not ready.
 
-        None while the router is neither without configuration nor isolated.
+        None while the router has configuration and endpoints and is not isolated.
         """
         if not self._view.complete:
             return self._view.age
--- a/dotterelpaddle/forwarding/attempts.py
+++ b/dotterelpaddle/forwarding/attempts.py
@@ -52,12 +52,15 @@
 """Minimum time left to send an attempt; no endpoint answers faster."""
 
 MAX_UNREACHABLE_ATTEMPTS = 4
-"""Maximum failed connects per request; a failed connect costs endpoints nothing."""
+"""Maximum attempts at a request before a retry of a failed connect.
+
+A failed connect costs endpoints nothing.
+"""
 
 MAX_REFUSED_ATTEMPTS = 2
-"""Maximum refusals per request, after which the caller has to retry later.
+"""Maximum refusals of a request before a retry; after more, the caller has to retry.
 
-Each refusal uses up one retry of the budget that all routers share.
+Each retry after a refusal is taken from the budget that all routers share.
 """
 
 
@@ -280,7 +283,10 @@
     def _claim_retry(
         self, *, exchange: ForwardExchange, failure: EndpointError
     ) -> bool:
-        """Tell whether a retry may follow; if so, take it from the retry budget."""
+        """Tell whether a retry may follow; if so, take it from the retry budget.
+
+        A retry after a failed connect takes nothing from the budget.
+        """
         route, service, attempts = exchange.route, exchange.service, exchange.attempts
         assert route is not None
         assert service is not None
--- a/dotterelpaddle/forwarding/client.py
+++ b/dotterelpaddle/forwarding/client.py
@@ -235,7 +235,7 @@
                 await _release(pool=pool, connection=connection)
 
     def _extra_wait(self, call: ForwardCall, sent_at: float) -> float:
-        """Return the seconds to extend a timed-out wait, 0 to give up the request."""
+        """Return the seconds to extend a timed-out wait; 0 or less ends the wait."""
         if not self._liveness.is_slow(endpoint=call.entry.endpoint, sent_at=sent_at):
             return 0.0
         seconds_left = call.timeouts.slow_first_byte - (self._clock() - sent_at)
--- a/dotterelpaddle/forwarding/entry_tags.py
+++ b/dotterelpaddle/forwarding/entry_tags.py
@@ -27,7 +27,7 @@
 
 
 def _content(entry: EndpointEntry) -> tuple[object, ...]:
-    """Return the fields to compare; the others change with each heartbeat."""
+    """Return the fields to compare, without those that change with each heartbeat."""
     models = sorted(entry.models)
     cold = ("cold",) if entry.cold_left else ()
     state = entry.state.value
--- a/dotterelpaddle/forwarding/metrics.py
+++ b/dotterelpaddle/forwarding/metrics.py
@@ -116,7 +116,7 @@
     Attributes:
         view: Active configuration and endpoints.
         loads: Requests in flight.
-        retry_budget: Retry budget.
+        retry_budget: Provides the retries left to this router.
         crashes: Requests suspected to crash endpoints.
         directory: The other routers.
         follower: Provides the age of the last update from the platform.
--- a/dotterelpaddle/forwarding/router.py
+++ b/dotterelpaddle/forwarding/router.py
@@ -69,8 +69,8 @@
     Yields:
         The router, which serves callers once it knows configuration and endpoints.
     """
-    parts = build_components(settings=settings, dependencies=dependencies)
-    app, state = parts.app, parts.state
+    components = build_components(settings=settings, dependencies=dependencies)
+    app, state = components.app, components.state
     grace = settings.shutdown_timeout - settings.drain_time - SHUTDOWN_MARGIN_SECONDS
     async with (
         open_datagram_socket(
@@ -79,23 +79,23 @@
         anyio.create_task_group() as tasks,
         AsyncExitStack() as stack,
     ):
-        tasks.start_soon(parts.follower.run)
-        tasks.start_soon(parts.reachability.run)
-        tasks.start_soon(parts.termination_prober.run)
-        tasks.start_soon(parts.isolation.run)
-        tasks.start_soon(_run_housekeeping, parts)
+        tasks.start_soon(components.follower.run)
+        tasks.start_soon(components.reachability.run)
+        tasks.start_soon(components.termination_prober.run)
+        tasks.start_soon(components.isolation.run)
+        tasks.start_soon(_run_housekeeping, components)
         control = await stack.enter_async_context(
             serve(
                 app=ControlApp(
-                    view=state.view, caches=state.caches, metrics=parts.metrics
+                    view=state.view, caches=state.caches, metrics=components.metrics
                 ),
                 address=settings.control,
                 additional_address=settings.metrics,
             )
         )
-        tasks.start_soon(parts.exchange.run, datagrams, control)
-        tasks.start_soon(parts.owners.run, datagrams)
-        tasks.start_soon(parts.fetcher.run)
+        tasks.start_soon(components.exchange.run, datagrams, control)
+        tasks.start_soon(components.owners.run, datagrams)
+        tasks.start_soon(components.fetcher.run)
         readiness = await stack.enter_async_context(
             serve(
                 app=ReadinessApp(is_ready=lambda: app.ready), address=settings.readiness
@@ -111,28 +111,28 @@
         )
         log.info("router_started", router=settings.router)
         yield RunningForwarder(
-            components=parts,
+            components=components,
             callers=callers,
             readiness=readiness,
             control=control,
             peers=datagrams.address,
         )
         log.info("router_stopping", in_flight=app.in_flight)
-        parts.start_draining()
+        components.start_draining()
         await anyio.sleep(settings.drain_time)
         # The exit stack stops the callers' server first. That server accepts no new
         # connections, closes idle ones and waits for requests in flight.
         await stack.aclose()
         log.info("router_stopped", in_flight=app.in_flight)
-        await parts.client.aclose()
+        await components.client.aclose()
         tasks.cancel_scope.cancel()
 
 
-async def _run_housekeeping(parts: Components) -> None:
-    state = parts.state
+async def _run_housekeeping(components: Components) -> None:
+    state = components.state
     while True:
         await anyio.sleep(HOUSEKEEPING_INTERVAL_SECONDS)
-        await parts.client.discard_expired()
+        await components.client.discard_expired()
         known_endpoints = frozenset(entry.endpoint for entry in state.view.entries)
         state.health.retain(endpoints=known_endpoints)
         state.liveness.retain(endpoints=known_endpoints)
--- a/dotterelpaddle/forwarding/termination_probes.py
+++ b/dotterelpaddle/forwarding/termination_probes.py
@@ -1,7 +1,7 @@
 """Distinguishes endpoints that terminated during a request from lost answers.
 
 A broken connection proves little: networks lose answers, reset connections and cut
-links while an endpoint lives. A terminated endpoint refuses the next connection.
+links while an endpoint still runs. A terminated endpoint refuses the next connection.
 """
 
 from __future__ import annotations
--- a/dotterelpaddle/platform/names.py
+++ b/dotterelpaddle/platform/names.py
@@ -51,7 +51,7 @@
         Header.FETCH_FROM,
     }
 )
-"""Headers that the router sets and never forwards from a caller."""
+"""Headers that the router never forwards from a caller; it sets some of them itself."""
 
 HOP_BY_HOP_HEADERS = frozenset(
     {
@@ -79,7 +79,7 @@
 
 
 class Field:
-    """Fields of rows whose names are misleading."""
+    """Fields of rows, only those with misleading names."""
 
     # Start of the process, Unix milliseconds of the endpoint's clock.
     STARTED_AT_MS = "born"
@@ -87,7 +87,7 @@
     SOFTWARE_VERSION = "version"
     # Increases when another field of the row changes; heartbeats don't change it.
     CHANGE_COUNT = "seq"
-    # Remaining milliseconds with reduced capacity, after its start or later.
+    # Remaining milliseconds with reduced capacity, after the endpoint's start or later.
     COLD_LEFT_MS = "coldLeftMs"
     # Of a route or client account: regions where its requests may run.
     ALLOWED_REGIONS = "allowedRegions"
--- a/dotterelpaddle/platform/store.py
+++ b/dotterelpaddle/platform/store.py
@@ -52,8 +52,8 @@
         self, *, address: Address, documents: DocumentDecoder, links: Links
     ) -> None:
         self._address = address
-        self._operator_rows = OperatorRowDecoder(documents=documents)
-        self._entry_rows = EntryRowDecoder(documents=documents)
+        self._operator_decoder = OperatorRowDecoder(documents=documents)
+        self._entry_decoder = EntryRowDecoder(documents=documents)
         self._pool = httpcore.AsyncConnectionPool(
             network_backend=LinkedBackend(links=links),
             max_connections=4,
@@ -67,7 +67,7 @@
     async def configuration(self) -> OperatorUpdate:
         """Read all rows of the operator."""
         rows, revision = await self._read_all(table=Table.OPERATOR)
-        return self._operator_rows.decode(
+        return self._operator_decoder.decode(
             rows=rows, revision=revision, is_snapshot=True
         )
 
@@ -76,20 +76,20 @@
     ) -> OperatorUpdate:
         """Wait for changes of the operator's rows, at most `wait` seconds."""
         answer = await self._watch(table=Table.OPERATOR, after=after, wait=wait)
-        return self._operator_rows.decode(
+        return self._operator_decoder.decode(
             rows=answer["rows"], revision=_revision(answer), is_snapshot=False
         )
 
     async def endpoints(self) -> EndpointsUpdate:
         """Read all endpoints' entries."""
         rows, revision = await self._read_all(table=Table.ENDPOINTS)
-        entries, _ = self._entry_rows.decode(rows=rows)
+        entries, _ = self._entry_decoder.decode(rows=rows)
         return EndpointsUpdate(revision=revision, entries=entries, is_snapshot=True)
 
     async def endpoints_after(self, *, after: Revision, wait: float) -> EndpointsUpdate:
         """Wait for changes of endpoints' entries, at most `wait` seconds."""
         answer = await self._watch(table=Table.ENDPOINTS, after=after, wait=wait)
-        entries, removed = self._entry_rows.decode(rows=answer["rows"])
+        entries, removed = self._entry_decoder.decode(rows=answer["rows"])
         return EndpointsUpdate(
             revision=_revision(answer), entries=entries, removed=removed
         )
--- a/dotterelpaddle/tests/forwarding/harness.py
+++ b/dotterelpaddle/tests/forwarding/harness.py
@@ -93,7 +93,7 @@
     Attributes:
         store: Stand-in of the store.
         runners: Stand-ins of endpoints by name.
-        addresses: Their addresses by name.
+        addresses: Addresses of these endpoints by name.
         routers: Routers in the order of their start.
         http: HTTP client of callers.
         stack: Stops stand-ins and routers at the end of the test.
--- a/dotterelpaddle/tests/forwarding/test_faults.py
+++ b/dotterelpaddle/tests/forwarding/test_faults.py
@@ -56,7 +56,7 @@
 
 
 def _plan_first(fleet: Fleet, *behaviours: Behaviour) -> None:
-    """Let the next requests meet these behaviours, at whichever endpoint.
+    """Plan these behaviours for the next requests, whichever endpoints receive them.
 
     Endpoints serve all later requests normally.
     """
--- a/dotterelpaddle/tests/platform/test_operator_rows.py
+++ b/dotterelpaddle/tests/platform/test_operator_rows.py
@@ -22,11 +22,9 @@
 
 
 def _decode(*rows: dict[str, Any], revision: int, view: FleetView) -> None:
-    operator_rows = OperatorRowDecoder(documents=PlatformDocumentDecoder())
+    decoder = OperatorRowDecoder(documents=PlatformDocumentDecoder())
     view.apply_operator_update(
-        update=operator_rows.decode(
-            rows=rows, revision=Revision(revision), is_snapshot=True
-        )
+        update=decoder.decode(rows=rows, revision=Revision(revision), is_snapshot=True)
     )
 
 
--- a/dotterelpaddle/tests/platform/test_protocols.py
+++ b/dotterelpaddle/tests/platform/test_protocols.py
@@ -86,7 +86,7 @@
     request = PROTOCOLS.decode_request(
         scope=_scope({Header.PROMPT_PREFIX: b"aa:1,bb:2"})
     )
-    delivery = RequestMetadata(
+    metadata = RequestMetadata(
         endpoint=EndpointName("runner-1"),
         time_left=1.2345,
         account=ClientAccount(name=AccountId("acme")),
@@ -94,7 +94,7 @@
         last_event_id="3",
     )
 
-    headers = dict(PROTOCOLS.encode_headers(request=request, metadata=delivery))
+    headers = dict(PROTOCOLS.encode_headers(request=request, metadata=metadata))
 
     assert headers[Header.EXPECTED_ENDPOINT] == b"runner-1"
     assert headers[Header.TIME_LEFT_MS] == b"1234"
--- a/dotterelpaddle/tests/platform/test_rows.py
+++ b/dotterelpaddle/tests/platform/test_rows.py
@@ -50,16 +50,16 @@
     ids=["no text", "nothing", "null", "a list", "unknown state", "fields missing"],
 )
 def test_row_of_another_writer_names_no_endpoint(value: object) -> None:
-    rows = EntryRowDecoder(documents=PlatformDocumentDecoder())
+    decoder = EntryRowDecoder(documents=PlatformDocumentDecoder())
 
-    entries, removed = rows.decode(rows=[_row("a", 4, VALUE), _row("b", 5, value)])
+    entries, removed = decoder.decode(rows=[_row("a", 4, VALUE), _row("b", 5, value)])
 
     assert [entry.name for entry in entries] == ["a"]
     assert removed == {"b": 5}
 
 
 def test_row_without_a_readable_value_names_no_endpoint() -> None:
-    rows = EntryRowDecoder(documents=PlatformDocumentDecoder())
+    decoder = EntryRowDecoder(documents=PlatformDocumentDecoder())
     without: list[dict[str, Any]] = [
         {"key": "a", "ver": 4},
         {"key": "b", "ver": 5, "value": 7},
@@ -67,7 +67,7 @@
         {"key": "d", "ver": 7, "value": "ü"},
     ]
 
-    entries, removed = rows.decode(rows=without)
+    entries, removed = decoder.decode(rows=without)
 
     assert entries == ()
     assert removed == {"a": 4, "b": 5, "c": 6, "d": 7}
@@ -75,16 +75,16 @@
 
 def test_fault_of_a_row_is_logged_once(monkeypatch: pytest.MonkeyPatch) -> None:
     """Guards against a log line per heartbeat: each rewrites the faulty row."""
-    rows, lines = (
+    decoder, lines = (
         EntryRowDecoder(documents=PlatformDocumentDecoder()),
         _Lines(monkeypatch),
     )
 
     for revision in range(1, 50):
-        rows.decode(rows=[_row("a", revision, {**VALUE, "state": "resting"})])
-    rows.decode(rows=[_row("a", 50, {**VALUE, "slots": "many"})])
-    rows.decode(rows=[_row("a", 51, VALUE)])
-    rows.decode(rows=[_row("a", 52, {**VALUE, "slots": "many"})])
+        decoder.decode(rows=[_row("a", revision, {**VALUE, "state": "resting"})])
+    decoder.decode(rows=[_row("a", 50, {**VALUE, "slots": "many"})])
+    decoder.decode(rows=[_row("a", 51, VALUE)])
+    decoder.decode(rows=[_row("a", 52, {**VALUE, "slots": "many"})])
 
     assert [line["field"] for line in lines.lines] == ["a.state", "a.slots", "a.slots"]
     assert [line["revision"] for line in lines.lines] == [1, 50, 52]
@@ -94,11 +94,11 @@
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     entries, lines = unusable.UnusableEntries(), _Lines(monkeypatch)
-    rows = EntryRowDecoder(documents=PlatformDocumentDecoder())
-    rows._unusable = entries
+    decoder = EntryRowDecoder(documents=PlatformDocumentDecoder())
+    decoder._unusable = entries
 
     for number in range(unusable.MAX_REMEMBERED_ENTRIES + 10):
-        rows.decode(rows=[_row(f"foreign-{number}", number + 1, {})])
+        decoder.decode(rows=[_row(f"foreign-{number}", number + 1, {})])
 
     assert len(entries._causes) == unusable.MAX_REMEMBERED_ENTRIES
     assert len(lines.lines) == unusable.MAX_REMEMBERED_ENTRIES + 10
