--- a/dotterelpaddle/owners/counts.py
+++ b/dotterelpaddle/owners/counts.py
@@ -32,7 +32,8 @@
     Attributes:
         report: Its latest report.
         received_at: When the report arrived, seconds on the monotonic clock.
-        granted: Endpoints granted to it that no report covers yet, by request number.
+        granted: Endpoints granted to it that no report covers yet, by number of the
+            grant request.
     """
 
     report: InFlightReport
--- a/dotterelpaddle/owners/exchange.py
+++ b/dotterelpaddle/owners/exchange.py
@@ -39,8 +39,8 @@
 within 0.12 s or more."""
 
 OWNER_COOLDOWN_SECONDS = 0.4
-"""Seconds that a router does not ask an owner again after a timeout. The aggregators
-name another owner once this one has been unresponsive for a second."""
+"""Seconds for which a router does not ask an owner again after a timeout. The
+aggregators name another owner once this one has been unresponsive for a second."""
 
 REPORT_BATCH_SECONDS = 0.02
 """Seconds for which a router collects changes before it sends a report."""
--- a/dotterelpaddle/owners/messages.py
+++ b/dotterelpaddle/owners/messages.py
@@ -96,7 +96,8 @@
 
     Attributes:
         number: Number of the grant request.
-        endpoint: The chosen endpoint, None if all are over their load bound.
+        endpoint: The chosen endpoint, None if none takes work or all are over their
+            load bound.
         fetch_from: Endpoint that caches the parts which the chosen one lacks, or all
             shared parts if the owner chose none; None if no endpoint does.
         reason: Why the owner chose the endpoint.
--- a/dotterelpaddle/owners/reporting.py
+++ b/dotterelpaddle/owners/reporting.py
@@ -134,7 +134,7 @@
             self._mark_changed(grant.endpoint)
 
     def _on_load_change(self, endpoint: EndpointId, count: int) -> None:
-        """Schedule a report to the endpoint's owner, unless it granted the request."""
+        """Schedule a report of a change, unless the endpoint's owner granted it."""
         granted = count > 0 and self._consume_grant(endpoint)
         if not granted:
             self._mark_changed(endpoint)
--- a/dotterelpaddle/peers/cache_discovery.py
+++ b/dotterelpaddle/peers/cache_discovery.py
@@ -95,8 +95,8 @@
     Args:
         view: The engines of the fleet.
         caches: Receives the cached prompt parts.
-        peer_summary: Tells this router's role among its peers.
-        shards: Tells which failure domain owns which engine.
+        peer_summary: This router's role among its peers.
+        shards: Maps engines to the failure domains whose owners count them.
         backoffs: Engines that have asked this router to back off.
         reader: Queries one engine.
         failure_domain: Failure domain of this router.
--- a/dotterelpaddle/peers/directory.py
+++ b/dotterelpaddle/peers/directory.py
@@ -33,7 +33,7 @@
 """Time without a report after which this router forgets a peer and its address."""
 
 RETRY_SECONDS = 1.0
-"""Time between later reports to an address that does not answer."""
+"""Time between reports to an address that does not answer, after the first two."""
 
 FIRST_RETRY_SECONDS = 0.3
 """Time between the first two reports to an address that does not answer. Hosts that
@@ -83,7 +83,7 @@
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class _NamedPeer:
-    """A router that a report named, and when it did on the monotonic clock."""
+    """A router that a report named, and when the report arrived (monotonic clock)."""
 
     info: PeerInfo
     named_at: float
@@ -160,7 +160,7 @@
         return tuple(peer for peer in self._peers.values() if peer.received_at > oldest)
 
     def reachable_domains(self) -> dict[FailureDomain, bool]:
-        """Return for each failure domain whether one of its routers just reported.
+        """Return for each failure domain whether a router recently reported.
 
         The aggregators list the other domains whose reports they receive.
         """
@@ -183,7 +183,7 @@
     def aggregators(self, *, failure_domain: FailureDomain) -> tuple[PeerInfo, ...]:
         """The aggregators of a failure domain, the best ranked ones first.
 
-        It excludes unresponsive routers, and stopping ones unless all are stopping.
+        Unresponsive routers are excluded, and stopping ones unless all are stopping.
         """
         members = [
             info for info in self._known() if info.failure_domain == failure_domain
@@ -211,7 +211,7 @@
 
         The owner is the best ranked router that is no aggregator, to spread the work.
         Both aggregators receive the reports of all, and so elect the same router. The
-        next one replaces an owner that answers most late, or is stopping, in advance.
+        next router replaces an owner that is late to most routers, or is stopping.
         """
         domain = self._own.failure_domain
         aggregators = self.aggregators(failure_domain=domain)
@@ -286,12 +286,12 @@
         return known is not None and known.report.incarnation == report.incarnation
 
     def unreached_targets(self) -> list[Address]:
-        """Return addresses without a router that is alive, if an attempt is due."""
+        """Return addresses at which no router is alive and an attempt is due."""
         known = {info.address for info in self._known()} | self._seeds
         return self._due_targets(known - {peer.address for peer in self.alive})
 
     def unresponsive_targets(self) -> list[Address]:
-        """Return addresses of unresponsive routers, if an attempt is due.
+        """Return addresses of unresponsive routers for which an attempt is due.
 
         The seeds are included if no router is alive.
         """
--- a/dotterelpaddle/peers/exchange.py
+++ b/dotterelpaddle/peers/exchange.py
@@ -52,8 +52,8 @@
 off by a handful of requests over all endpoints."""
 
 PEER_LIST_INTERVAL_ROUNDS = 8
-"""One in this many rounds of reports lists the sender's peers. With nine routers the
-list is half of a report, and new routers are rare."""
+"""After its first rounds, a router lists its peers in one of this many rounds of
+reports. With nine routers the list is half of a report, and new routers are rare."""
 
 MAX_FIXED_PEERS = 4
 """Best ranked routers that every list of peers contains; the others take turns."""
@@ -86,8 +86,8 @@
         crashes: Requests during which endpoints crashed.
         directory: The other routers.
         plan: Chooses the recipients of reports.
-        peer_summary: Tells the age of platform data that peers confirm.
-        follower: Tells the age of this router's platform data.
+        peer_summary: Provides the age of platform data that peers confirm.
+        follower: Provides the age of this router's own platform data.
         owners: Processes messages between routers and owners.
         generator: Source of jitter.
     """
@@ -245,7 +245,7 @@
         return own
 
     def _owners_for(self, *, recipient: Recipient) -> tuple[PeerInfo, ...]:
-        """Return the owner of the own failure domain, or the owners of all."""
+        """Return the owners to report: of the own failure domain, of all, or none."""
         owners = self._directory.owners()
         match recipient.scope:
             case TotalsScope.DOMAIN:
@@ -302,7 +302,7 @@
         """Process a report.
 
         Returns:
-            Whether its sender requests an answer, or its process is new.
+            Whether to answer: the sender requests it, or its process is new.
         """
         if report.router == self._own.router:
             return False
--- a/dotterelpaddle/peers/fetching.py
+++ b/dotterelpaddle/peers/fetching.py
@@ -40,7 +40,7 @@
 
 MIN_CHECKS_BEHIND = 2
 """Consecutive checks that must find newer endpoints at a peer before a router fetches
-them from that peer: it calls the platform first, which takes 4 ms."""
+them from that peer: the router calls the platform first, which takes 4 ms."""
 
 START_CHECK_INTERVAL_SECONDS = 0.03
 """Time between checks while this router doesn't know the endpoints' cached parts."""
@@ -56,7 +56,7 @@
         view: Receives configurations and endpoints.
         caches: Receives the cached prompt parts of endpoints.
         directory: The other routers.
-        peer_summary: Tells which peer has newer endpoints.
+        peer_summary: Determines which peer has newer endpoints.
         documents: Decodes the fetched documents.
         cache_discovery: Queries engines when no router knows their cached parts.
         platform_age: Returns the seconds since the last answer of the platform.
--- a/dotterelpaddle/peers/messages.py
+++ b/dotterelpaddle/peers/messages.py
@@ -110,11 +110,11 @@
         endpoints_tag: Digest of the endpoints that it knows.
         share: Requests in flight and retries, its own or aggregated.
         ask: Reply that it requests.
-        routers: Number of routers that it knows of, itself included.
+        routers: Number of routers that it knows, itself included.
         domains: Failure domains of the routers whose reports it has just received.
         uses: Prompt parts with the endpoints to which it recently sent them.
-        parts: Number of prompt parts of which it knows a caching endpoint; 0 while it
-            still loads those from before its start.
+        parts: Number of prompt parts of which it knows a caching endpoint; 0 until it
+            has loaded the parts that endpoints cached before its start.
         peers: Routers whose reports it receives.
         owners: Routers that count the requests in flight of a failure domain.
         leaving: Whether it is stopping, so that others have to take over its roles.
@@ -298,10 +298,11 @@
 
 
 def _resolve(
-    endpoints: Mapping[str, EndpointId], start_of: Callable[[EndpointName], EndpointId]
+    endpoints: Mapping[str, EndpointId],
+    current_endpoint_id: Callable[[EndpointName], EndpointId],
 ) -> Mapping[str, EndpointId]:
     """Return the current incarnations of endpoints in a report without any."""
-    return {name: start_of(EndpointName(name)) for name in endpoints}
+    return {name: current_endpoint_id(EndpointName(name)) for name in endpoints}
 
 
 def _totals(
--- a/dotterelpaddle/peers/plan.py
+++ b/dotterelpaddle/peers/plan.py
@@ -57,7 +57,7 @@
 
     @property
     def router_count(self) -> int:
-        """Number of routers that this one knows of, itself included."""
+        """Number of routers that this one knows, itself included."""
         return max(self._directory.router_count, self._totals.router_count)
 
     @property
--- a/dotterelpaddle/peers/summary.py
+++ b/dotterelpaddle/peers/summary.py
@@ -26,7 +26,7 @@
     Args:
         view: Configuration and endpoints in force.
         directory: The other routers.
-        totals: Tells whether the fleet has aggregators.
+        totals: Provides whether the fleet has aggregators.
         clock: Monotonic clock.
     """
 
@@ -50,7 +50,7 @@
         The platform reader is the first router by rank that reaches the platform.
         Without one, every router would rely on its peers' reports until they are old,
         and all would receive changes late. A moment with two readers or none costs
-        only calls.
+        only additional calls to the platform.
         """
         rank = self._directory.rank
         own = rank(router=self._directory.own.router)
--- a/dotterelpaddle/tests/owners/fleet.py
+++ b/dotterelpaddle/tests/owners/fleet.py
@@ -94,7 +94,7 @@
         routers: Number of routers.
         endpoints: Number of endpoints.
         seed: Seed of the random generator.
-        leave_time: Seconds that a stopping router keeps serving.
+        leave_time: Seconds for which a stopping router keeps serving.
         without_owners: Whether routers never know an owner.
     """
 
--- a/dotterelpaddle/tests/owners/harness.py
+++ b/dotterelpaddle/tests/owners/harness.py
@@ -108,8 +108,8 @@
 
     def __init__(self, *, name: str, harness: OwnerHarness) -> None:
         self._harness = harness
-        shares = TotalsTracker(failure_domain=HERE, clock=harness.clock)
-        self.loads = LoadTracker(totals=shares)
+        totals = TotalsTracker(failure_domain=HERE, clock=harness.clock)
+        self.loads = LoadTracker(totals=totals)
         self.reporter = InFlightReporter(
             router=RouterId(name),
             loads=self.loads,
--- a/dotterelpaddle/tests/owners/hosts.py
+++ b/dotterelpaddle/tests/owners/hosts.py
@@ -116,7 +116,7 @@
     leave_time: float = 0.0,
     protocols: Any = None,
 ) -> Components:
-    """Put a router's parts together, without a platform or endpoints.
+    """Build a router's components, without a platform or endpoints.
 
     Args:
         router: Name of the router.
@@ -124,7 +124,7 @@
         address: Its address for datagrams; no socket is opened.
         link: Bandwidth of its host's link, Mbit/s.
         clock: Monotonic clock.
-        leave_time: Seconds that it keeps serving after a stop.
+        leave_time: Seconds for which it keeps serving after a stop.
         protocols: Translates requests and answers, None without any.
     """
     unused: Any = None
--- a/dotterelpaddle/tests/owners/test_owner.py
+++ b/dotterelpaddle/tests/owners/test_owner.py
@@ -66,9 +66,9 @@
     harness = OwnerHarness()
     routers = _routers(harness, 8)
     _warm_up(harness, routers)
-    questions = [router.open_request() for router in routers]
+    opened = [router.open_request() for router in routers]
     grants = [
-        harness.owner.decide(request=grant_request) for _, grant_request in questions
+        harness.owner.decide(request=grant_request) for _, grant_request in opened
     ]
 
     read = [
--- a/dotterelpaddle/tests/owners/test_routers.py
+++ b/dotterelpaddle/tests/owners/test_routers.py
@@ -23,7 +23,7 @@
 
 @pytest.fixture(autouse=True)
 def small_mesh(monkeypatch: pytest.MonkeyPatch) -> None:
-    """Make two routers aggregators, one of which owns all endpoints."""
+    """Make two routers aggregators; one of the other routers owns all endpoints."""
     monkeypatch.setattr(plan, "MAX_MESH_ROUTERS", 2)
 
 
@@ -40,14 +40,14 @@
             if self.responding:
                 await receive(datagram=datagram, address=address)  # type: ignore[arg-type]
 
-        answer = owner._owner.decide
+        decide = owner._owner.decide
 
-        def _answer(*, request: GrantRequest):
+        def _decide(*, request: GrantRequest):
             self.requests.append(request)
-            return answer(request=request)
+            return decide(request=request)
 
         owner.receive = _receive  # type: ignore[method-assign]
-        owner._owner.decide = _answer  # type: ignore[method-assign]
+        owner._owner.decide = _decide  # type: ignore[method-assign]
 
 
 async def _start(fleet: Fleet) -> OwnerProbe:
--- a/dotterelpaddle/tests/peers/fleet.py
+++ b/dotterelpaddle/tests/peers/fleet.py
@@ -76,14 +76,14 @@
     def add(self, number: int, *, domain: str, link: int = 10) -> Node:
         """Add a router to the fleet."""
         address = Address(host=f"10.0.0.{number}", port=1)
-        parts = build_router(
+        components = build_router(
             router=RouterId(f"router-{number}"),
             failure_domain=FailureDomain(domain),
             address=address,
             link=link,
             clock=self.clock,
         )
-        state, exchange = parts.state, parts.exchange
+        state, exchange = components.state, components.exchange
         exchange._generator = self.rng
         node = Node(
             info=state.directory.own,
--- a/dotterelpaddle/tests/peers/test_plan.py
+++ b/dotterelpaddle/tests/peers/test_plan.py
@@ -34,15 +34,15 @@
     return fleet
 
 
-def _hold_requests(fleet: Fleet) -> int:
+def _start_requests(fleet: Fleet) -> int:
     """Put some requests of each router in flight; return their number."""
-    held = 0
+    in_flight = 0
     for number, node in enumerate(fleet.nodes):
         count = 1 + number % 3
         for _ in range(count):
             fleet.held_requests.enter_context(node.loads.track(endpoint=A))
-        held += count
-    return held
+        in_flight += count
+    return in_flight
 
 
 @pytest.mark.parametrize(
@@ -50,22 +50,22 @@
 )
 async def test_every_router_counts_all_requests_once(routers: int) -> None:
     fleet = _fleet(routers=routers)
-    held = _hold_requests(fleet)
+    in_flight = _start_requests(fleet)
 
     await fleet.run(START_SECONDS)
 
-    assert {node.load(A) for node in fleet.nodes} == {held}
+    assert {node.load(A) for node in fleet.nodes} == {in_flight}
 
 
 async def test_lost_datagrams_barely_change_counts() -> None:
     fleet = _fleet(routers=40, loss=0.1)
-    held = _hold_requests(fleet)
+    in_flight = _start_requests(fleet)
     await fleet.run(START_SECONDS)
 
     for _ in range(20):
         await fleet.run(0.2)
         seen = [node.load(A) for node in fleet.nodes]
-        assert all(0.9 * held <= count <= held for count in seen)
+        assert all(0.9 * in_flight <= count <= in_flight for count in seen)
 
 
 @pytest.mark.parametrize("routers", [30, 58, 90])
@@ -85,18 +85,18 @@
 
 async def test_next_routers_aggregate_after_the_aggregators_crash() -> None:
     fleet = _fleet(routers=30)
-    held = _hold_requests(fleet)
+    in_flight = _start_requests(fleet)
     await fleet.run(START_SECONDS)
     domain = FailureDomain("a")
     first = fleet.nodes[0].directory.aggregators(failure_domain=domain)
     ended = [node for node in fleet.nodes if node.info in first]
     fleet.down = {node.info.address for node in ended}
-    held -= sum(node.loads.own[A] for node in ended)
+    in_flight -= sum(node.loads.own[A] for node in ended)
 
     await fleet.run(2 * PEER_TIMEOUT_SECONDS + 2.0)
 
     rest = [node for node in fleet.nodes if node not in ended]
-    assert {node.load(A) for node in rest} == {held}
+    assert {node.load(A) for node in rest} == {in_flight}
     again = rest[0].directory.aggregators(failure_domain=domain)
     assert len(again) == 2
     assert not set(again) & set(first)
@@ -104,7 +104,7 @@
 
 async def test_returning_router_aggregates_again() -> None:
     fleet = _fleet(routers=30)
-    held = _hold_requests(fleet)
+    in_flight = _start_requests(fleet)
     await fleet.run(START_SECONDS)
     domain = FailureDomain("a")
     first = fleet.nodes[0].directory.aggregators(failure_domain=domain)
@@ -115,7 +115,7 @@
     await fleet.run(4.0)
 
     assert fleet.nodes[0].directory.aggregators(failure_domain=domain) == first
-    assert {node.load(A) for node in fleet.nodes} == {held}
+    assert {node.load(A) for node in fleet.nodes} == {in_flight}
 
 
 async def test_members_detect_that_another_failure_domain_is_cut_off() -> None:
@@ -245,7 +245,7 @@
 
 async def test_stopping_aggregators_are_replaced_while_they_still_answer() -> None:
     fleet = _fleet(routers=58)
-    _hold_requests(fleet)
+    _start_requests(fleet)
     await fleet.run(START_SECONDS)
     stopping = [node for node in fleet.nodes if node.totals.is_aggregator]
     for node in stopping:
@@ -254,13 +254,13 @@
     fleet.down.update(node.info.address for node in stopping)
 
     staying = [node for node in fleet.nodes if node not in stopping]
-    held = sum(node.loads.own[A] for node in staying)
+    in_flight = sum(node.loads.own[A] for node in staying)
     for _ in range(10):
         await fleet.run(0.2)
         assert all(node.directory.owners().keys() == set(DOMAINS) for node in staying)
-        assert all(node.load(A) >= 0.9 * held for node in staying)
+        assert all(node.load(A) >= 0.9 * in_flight for node in staying)
     await fleet.run(PEER_TIMEOUT_SECONDS)
-    assert {node.load(A) for node in staying} == {held}
+    assert {node.load(A) for node in staying} == {in_flight}
 
 
 async def test_owners_are_kept_while_all_routers_are_stopping() -> None:
@@ -300,7 +300,7 @@
     """Routers crash, return, get cut off and lose datagrams, also at the same time."""
     rng = random.Random(seed)
     fleet = _fleet(routers=rng.choice([14, 18, 27, 40]))
-    held = _hold_requests(fleet)
+    in_flight = _start_requests(fleet)
     await fleet.run(START_SECONDS)
 
     for _ in range(12):
@@ -317,11 +317,11 @@
         for _ in range(rng.choice([2, 5, 15])):
             await fleet.run(0.2)
             # A count may lack requests while roles change; it never counts one twice.
-            assert all(node.load(A) <= held for node in fleet.nodes)
+            assert all(node.load(A) <= in_flight for node in fleet.nodes)
     fleet.down, fleet.isolated, fleet.loss = set(), set(), 0.0
     await fleet.run(RECOVERY_SECONDS)
 
-    assert {node.load(A) for node in fleet.nodes} == {held}
+    assert {node.load(A) for node in fleet.nodes} == {in_flight}
     assert sum(node.peer_summary.is_platform_reader for node in fleet.nodes) == 1
     for node in fleet.nodes:
         assert all(node.directory.reachable_domains().values())
--- a/dotterelpaddle/transport.py
+++ b/dotterelpaddle/transport.py
@@ -182,10 +182,10 @@
             assert transport is not None
             protocol.transport = transport
             return self
-        raise httpcore.ConnectTimeout("TLS was not agreed on in time")
+        raise httpcore.ConnectTimeout("the TLS handshake did not end in time")
 
     def get_extra_info(self, info: str) -> Any:
-        """Look up what httpcore asks of a connection."""
+        """Return a property of the connection for httpcore."""
         protocol = self._protocol
         match info:
             case "is_readable":
