--- a/dotterelpaddle/tests/owners/test_routers.py
+++ b/dotterelpaddle/tests/owners/test_routers.py
@@ -58,7 +58,7 @@
     for router in fleet.routers:
         directory = router.components.state.directory
         await wait_until(lambda d=directory: _owner(d) == owner)
-        await wait_until(lambda r=router: r.parts.app.ready)
+        await wait_until(lambda r=router: r.components.app.ready)
     return OwnerProbe(fleet=fleet, index=OWNER)
 
 
